--- a/frostfall/agreement/log.py
+++ b/frostfall/agreement/log.py
@@ -53,7 +53,7 @@
     def after(self, index: int, most: int = 64) -> list[Entry]:
         """Entries behind an index that is here, so many at most."""
         begin = index - self.snapshot.index
-        return self.entries[begin:begin + most]
+        return self.entries[begin : begin + most]
 
     def get(self, index: int) -> Entry:
         """One entry that is here."""
@@ -75,8 +75,8 @@
                 continue
             if self.term_at(at) == entry.term:
                 continue
-            del self.entries[at - self.snapshot.index - 1:]
-            self.entries += entries[offset - 1:]
+            del self.entries[at - self.snapshot.index - 1 :]
+            self.entries += entries[offset - 1 :]
             return at
         return None
 
--- a/frostfall/agreement/raft.py
+++ b/frostfall/agreement/raft.py
@@ -100,8 +100,14 @@
 class Raft:
     """One member."""
 
-    def __init__(self, name: str, snapshot: Snapshot, hard: Hard | None = None,
-                 entries: list[Entry] | None = None, seed: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        snapshot: Snapshot,
+        hard: Hard | None = None,
+        entries: list[Entry] | None = None,
+        seed: int = 0,
+    ) -> None:
         """As it was on disk; a first start has a snapshot with the voters."""
         self.name = name
         self.log = Log(snapshot)
@@ -189,8 +195,10 @@
         if self.hard != self._saved:
             out.hard = self._saved = self.hard
         first = max(self._stable, self.log.snapshot.index)
-        out.entries = [(first + offset, entry) for offset, entry in
-                       enumerate(self.log.after(first, len(self.log.entries)), 1)]
+        out.entries = [
+            (first + offset, entry)
+            for offset, entry in enumerate(self.log.after(first, len(self.log.entries)), 1)
+        ]
         self._stable = self.log.last
         begin = max(self.applied, self.log.snapshot.index)
         out.committed = [(index, self.log.get(index)) for index in range(begin + 1, self.commit + 1)]
@@ -260,7 +268,8 @@
 
     def _voted(self, sender: str, word: Vote) -> None:
         waiting = (self._pre and word.pre and word.term == self.hard.term + 1) or (
-            self.role is Role.CANDIDATE and not word.pre and word.term == self.hard.term)
+            self.role is Role.CANDIDATE and not word.pre and word.term == self.hard.term
+        )
         if waiting and word.granted:
             self._votes[sender] = True
             self._count()
--- a/frostfall/bench/faults.py
+++ b/frostfall/bench/faults.py
@@ -23,8 +23,26 @@
 class Step(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
     """One step; which keys it needs goes by `do`."""
 
-    do: Literal["start", "kill", "power_loss", "pause", "wake", "link", "servers", "disk", "lose", "save",
-                "restore", "swap", "cut_file", "flip", "ask", "wait", "gate", "load"]
+    do: Literal[
+        "start",
+        "kill",
+        "power_loss",
+        "pause",
+        "wake",
+        "link",
+        "servers",
+        "disk",
+        "lose",
+        "save",
+        "restore",
+        "swap",
+        "cut_file",
+        "flip",
+        "ask",
+        "wait",
+        "gate",
+        "load",
+    ]
     who: tuple[str, ...] = ()  # agents; none: all
     link: str = ""  # a pattern, as `n0>n1` or `*>discovery`
     change: dict[str, Any] = {}  # of a link, of servers, of a disk's faults or of the load
--- a/frostfall/bench/faults_disk.py
+++ b/frostfall/bench/faults_disk.py
@@ -65,7 +65,7 @@
         self._unsynced += data
         if self._nameless is None and not self._ahead and self._random.random() < self.faults.tear:
             self._ahead = self._random.randrange(len(self._unsynced) + 1)
-            super().write(self._unsynced[:self._ahead])
+            super().write(self._unsynced[: self._ahead])
 
     def sync(self) -> None:
         """Put it on disk, or do what the faults say."""
--- a/frostfall/bench/report.py
+++ b/frostfall/bench/report.py
@@ -22,6 +22,7 @@
 
 def table(rows: Sequence[Row], columns: Sequence[str]) -> str:
     """Rows as a Markdown table; numbers with three digits that count."""
+
     def cell(value: Any) -> str:
         return f"{value:.3g}" if isinstance(value, float) else str(value)
 
--- a/frostfall/bench/structures.py
+++ b/frostfall/bench/structures.py
@@ -128,15 +128,19 @@
     rows: list[report.Row] = []
     for count, moved in ((n, part) for part in (0.5, 0.01) for n in (1_000, 10_000, 100_000)):
         kinds: dict[str, Callable[[], Timed]] = {
-            "wheel": partial(wheel, count, moved), "heap": partial(heap, count, moved),
-            "scan": partial(scan, count, moved)}
+            "wheel": partial(wheel, count, moved),
+            "heap": partial(heap, count, moved),
+            "scan": partial(scan, count, moved),
+        }
         job = f"a turn of timers, 1 in {round(1 / moved)} moved"
         rows.append({"job": job, "count": count, **_compare(kinds, rounds, TURNS)})
         click.echo(str(rows[-1]))
     for count, every in ((1_000, 1), (10_000, 1), (10_000, 50), (100_000, 50)):
-        kinds = {"indexed heap": partial(ranking, count, CHANGES, every),
-                 "heap": partial(ranking_heap, count, CHANGES, every),
-                 "scan": partial(ranking_scan, count, CHANGES, every)}
+        kinds = {
+            "indexed heap": partial(ranking, count, CHANGES, every),
+            "heap": partial(ranking_heap, count, CHANGES, every),
+            "scan": partial(ranking_scan, count, CHANGES, every),
+        }
         job = f"who leaves, 1 in {every} changes"
         rows.append({"job": job, "count": count, **_compare(kinds, rounds, CHANGES)})
         click.echo(str(rows[-1]))
--- a/frostfall/cli.py
+++ b/frostfall/cli.py
@@ -19,12 +19,26 @@
 
 
 @main.command()
-@click.option("--config", "path", type=click.Path(dir_okay=False), envvar="BALANCER_CONFIG", required=True,
-              help="The platform's configuration, JSON.")
-@click.option("--operator", type=click.Path(dir_okay=False), envvar="FROSTFALL_OPERATOR",
-              help="The operators' own settings, JSON5.")
-@click.option("--log", type=click.Choice(["debug", "info", "warning", "error"]), envvar="FROSTFALL_LOG",
-              help="Log from this level on.")
+@click.option(
+    "--config",
+    "path",
+    type=click.Path(dir_okay=False),
+    envvar="BALANCER_CONFIG",
+    required=True,
+    help="The platform's configuration, JSON.",
+)
+@click.option(
+    "--operator",
+    type=click.Path(dir_okay=False),
+    envvar="FROSTFALL_OPERATOR",
+    help="The operators' own settings, JSON5.",
+)
+@click.option(
+    "--log",
+    type=click.Choice(["debug", "info", "warning", "error"]),
+    envvar="FROSTFALL_LOG",
+    help="Log from this level on.",
+)
 def run(path: str, operator: str | None, log: str | None) -> None:
     """Run one agent until SIGTERM; SIGHUP reads both files anew."""
     from frostfall.program import main as serve
@@ -72,10 +86,18 @@
 @bench.command("slow-peers")
 @click.option("--rounds", default=5, show_default=True, help="How often the phases are gone through.")
 @click.option("--seconds", default=6.0, show_default=True, help="Length of a phase.")
-@click.option("--against", type=click.Path(file_okay=False, exists=True),
-              help="Another checkout of this project, for the CPU a request.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("bench-out"),
-              show_default=True, help="Where the JSON, the table and the plot go.")
+@click.option(
+    "--against",
+    type=click.Path(file_okay=False, exists=True),
+    help="Another checkout of this project, for the CPU a request.",
+)
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("bench-out"),
+    show_default=True,
+    help="Where the JSON, the table and the plot go.",
+)
 def slow_peers(rounds: int, seconds: float, against: str | None, out: Path) -> None:
     """Fast clients beside slow ones and beside a dripping server; what is shed, memory and CPU."""
     try:
@@ -87,8 +109,13 @@
 
 @bench.command("structures")
 @click.option("--rounds", default=5, show_default=True, help="How often each is timed.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("bench-out"),
-              show_default=True, help="Where the JSON and the table go.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("bench-out"),
+    show_default=True,
+    help="Where the JSON and the table go.",
+)
 def structures(rounds: int, out: Path) -> None:
     """Timer wheel and indexed heap against heap and scan."""
     from frostfall.bench import structures as measure
@@ -98,10 +125,22 @@
 
 @bench.command("many-agents")
 @click.option("--rounds", default=3, show_default=True, help="How many seeds each case is played with.")
-@click.option("--agents", "sizes", multiple=True, type=click.IntRange(1), default=(3, 40, 200),
-              show_default=True, help="Sizes of fleets; may be given more than once.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("bench-out"),
-              show_default=True, help="Where the JSON, the table and the plot go.")
+@click.option(
+    "--agents",
+    "sizes",
+    multiple=True,
+    type=click.IntRange(1),
+    default=(3, 40, 200),
+    show_default=True,
+    help="Sizes of fleets; may be given more than once.",
+)
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("bench-out"),
+    show_default=True,
+    help="Where the JSON, the table and the plot go.",
+)
 def many_agents(rounds: int, sizes: tuple[int, ...], out: Path) -> None:
     """Whole fleets in virtual time: bad servers, a lost zone, a cold fleet, killed agents."""
     try:
@@ -117,15 +156,21 @@
 @click.option("--records", default=1_000_000, show_default=True, help="Records that a start has to read.")
 @click.option("--rounds", default=3, show_default=True, help="How often the store's cost is measured.")
 @click.option("--against", default="8059fbe", show_default=True, help="The revision that is compared with.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("bench-out"),
-              show_default=True, help="Where the JSON, the table and the plot go.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("bench-out"),
+    show_default=True,
+    help="Where the JSON, the table and the plot go.",
+)
 def power_loss(losses: int, schedules: int, records: int, rounds: int, against: str, out: Path) -> None:
     """Groups of agents lose power under load; the store's cost; schedules of faults in virtual time."""
     try:
         import frostfall.bench.power_loss as measure
     except ImportError as error:
-        raise click.ClickException(f"{error}; install requirements-bench.txt and requirements-group.txt"
-                                   ) from None
+        raise click.ClickException(
+            f"{error}; install requirements-bench.txt and requirements-group.txt"
+        ) from None
     measure.run(losses, schedules, records, rounds, against, out, click.echo)
 
 
@@ -133,26 +178,38 @@
 @click.option("--losses", default=30, show_default=True, help="Machines lost with their disks.")
 @click.option("--schedules", default=2000, show_default=True, help="Schedules of faults in virtual time.")
 @click.option("--rounds", default=3, show_default=True, help="How often the cost of a promise is measured.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("bench-out"),
-              show_default=True, help="Where the JSON and the table go.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("bench-out"),
+    show_default=True,
+    help="Where the JSON and the table go.",
+)
 @click.option("--records", default=100_000, show_default=True, help="Of a machine that is made whole.")
 @click.option("--items", default=1000, show_default=True, help="Open items of a machine that goes.")
 @click.option("--against", default="8059fbe", show_default=True, help="The revision that is compared with.")
-def copies(losses: int, schedules: int, rounds: int, out: Path, records: int, items: int,
-           against: str) -> None:
+def copies(
+    losses: int, schedules: int, rounds: int, out: Path, records: int, items: int, against: str
+) -> None:
     """Machines of 3, 5 and 9 agents go with their disks under load; what a promise costs."""
     try:
         import frostfall.bench.copies as measure
     except ImportError as error:
-        raise click.ClickException(f"{error}; install requirements-bench.txt and requirements-group.txt"
-                                   ) from None
+        raise click.ClickException(
+            f"{error}; install requirements-bench.txt and requirements-group.txt"
+        ) from None
     measure.run(losses, schedules, rounds, records, items, against, out, click.echo)
 
 
 @bench.command("faults")
 @click.argument("script", type=click.Path(dir_okay=False, exists=True))
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("bench-out/faults"),
-              show_default=True, help="A new folder for the agents' folders and the history.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("bench-out/faults"),
+    show_default=True,
+    help="A new folder for the agents' folders and the history.",
+)
 def faults(script: str, out: Path) -> None:
     """Play a script of faults (JSON5) on processes and check the history; exit with 1 on a finding."""
     try:
@@ -175,8 +232,13 @@
 @bench.command("variant")
 @click.argument("overrides", type=click.Path(dir_okay=False, path_type=Path))
 @click.argument("site", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=Path("deploy/sites"),
-              show_default=True, help="Where the variant's folder goes.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    default=Path("deploy/sites"),
+    show_default=True,
+    help="Where the variant's folder goes.",
+)
 def variant(overrides: Path, site: Path, out: Path) -> None:
     """Write a variant of a deployment's site file by OVERRIDES, an annotated TOML file, for the benches."""
     try:
@@ -210,8 +272,13 @@
 
 
 @group.command("put")
-@click.option("--operator", envvar="FROSTFALL_OPERATOR", required=True, type=click.Path(dir_okay=False),
-              help="An operator file with a section `group` and `agreement`.")
+@click.option(
+    "--operator",
+    envvar="FROSTFALL_OPERATOR",
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="An operator file with a section `group` and `agreement`.",
+)
 @click.option("--by", default=lambda: os.environ.get("USER", "operator"), help="Who says so.")
 @click.argument("key")
 @click.argument("value")
@@ -269,25 +336,37 @@
 
 def _shown(fields: dict[str, Any]) -> str:
     """A member's state as lines."""
-    lines = [f"{fields['name']}: life {fields['life']}, record {fields['record']}, {fields['operations']} "
-             f"operations, {fields['segments']} segments of {fields['bytes'] / 1e6:.1f} MB"]
+    lines = [
+        f"{fields['name']}: life {fields['life']}, record {fields['record']}, {fields['operations']} "
+        f"operations, {fields['segments']} segments of {fields['bytes'] / 1e6:.1f} MB"
+    ]
     if fields["waits_for"]:
         lines.append(f"  waits for {fields['waits_for']}: {fields['because']}")
     lines += [f"  {key}: {fields[key]}" for key in ("why", "doubt", "held") if fields[key]]
-    lines += [f"  gate {name}: {stand}{', ' + why if why else ''} (since {since:g} s after the start)"
-              for name, (stand, why, since) in fields["gates"].items()]
-    lines += [f"  member {name}: {health}, life {life}{', waits for ' + stage if stage else ''}"
-              f"{', in doubt: ' + doubt if doubt else ''}, clock {ahead:+.1f} s"
-              for name, (health, life, stage, doubt, ahead) in fields["members"].items()]
+    lines += [
+        f"  gate {name}: {stand}{', ' + why if why else ''} (since {since:g} s after the start)"
+        for name, (stand, why, since) in fields["gates"].items()
+    ]
+    lines += [
+        f"  member {name}: {health}, life {life}{', waits for ' + stage if stage else ''}"
+        f"{', in doubt: ' + doubt if doubt else ''}, clock {ahead:+.1f} s"
+        for name, (health, life, stage, doubt, ahead) in fields["members"].items()
+    ]
     if "leader" in fields:
         lines.append(f"  register: led by {fields['leader'] or 'nobody'} in term {fields['term']}")
-        lines += [f"    {key} = {value} (version {version})" for key, (value, version)
-                  in fields["register"].items()]
+        lines += [
+            f"    {key} = {value} (version {version})" for key, (value, version) in fields["register"].items()
+        ]
     return "\n".join(lines)
 
 
-_OPERATOR = click.option("--operator", envvar="FROSTFALL_OPERATOR", required=True,
-                         type=click.Path(dir_okay=False), help="An operator file with a section `group`.")
+_OPERATOR = click.option(
+    "--operator",
+    envvar="FROSTFALL_OPERATOR",
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="An operator file with a section `group`.",
+)
 _JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object a member.")
 _WHO = click.argument("members", nargs=-1)
 _BY = click.option("--by", default=lambda: os.environ.get("USER", "operator"), help="Who says so.")
--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -117,8 +117,10 @@
             raise ConfigError(f"settings.grades: aimUs or deadlineUs of {kind.name!r} is out of range")
     if settings.limits.max_attempts < 1:
         raise ConfigError("settings.bounds.maxAttempts: at least 1 is needed")
-    for key, value in (("connectTimeoutUs", settings.limits.connect_timeout),
-                       ("connIdleUs", settings.limits.connection_idle)):
+    for key, value in (
+        ("connectTimeoutUs", settings.limits.connect_timeout),
+        ("connIdleUs", settings.limits.connection_idle),
+    ):
         if value <= 0:
             raise ConfigError(f"settings.bounds.{key}: {value} is out of range")
     return settings
@@ -206,8 +208,12 @@
         peers=peers,
         peers_all=address(raw.peers_all, "peers_all") if raw.peers_all else None,
         platform=address(raw.release_api.address, "release_api.address") if raw.release_api else None,
-        news=told, known=raw.known, settings=settings, log_level=level,
-        options=_checked(options or Options(), settings))
+        news=told,
+        known=raw.known,
+        settings=settings,
+        log_level=level,
+        options=_checked(options or Options(), settings),
+    )
 
 
 def _checked(options: Options, settings: api.Settings) -> Options:
--- a/frostfall/copies/catalogue.py
+++ b/frostfall/copies/catalogue.py
@@ -34,8 +34,13 @@
     FENCED = 3
 
 
-MARKS = {State.OPEN: Mark.MAY_HAVE_RUN, State.FAILED: Mark.MAY_HAVE_RUN, State.LOST: Mark.MAY_HAVE_RUN,
-         State.SERVED: Mark.SERVED, State.FENCED: Mark.FENCED}
+MARKS = {
+    State.OPEN: Mark.MAY_HAVE_RUN,
+    State.FAILED: Mark.MAY_HAVE_RUN,
+    State.LOST: Mark.MAY_HAVE_RUN,
+    State.SERVED: Mark.SERVED,
+    State.FENCED: Mark.FENCED,
+}
 
 
 class Catalogue:
@@ -109,17 +114,24 @@
 def answer(catalogue: Catalogue, question: Question) -> bytes:
     """What a question is answered with; ValueError for one that no comparison asks."""
     most = DEEPEST + 1 if question.entries else DEEPEST
-    if len(question.prefixes) > ASKED_MOST or not 0 <= question.depth <= most or any(
-            not 0 <= prefix < FAN ** question.depth for prefix in question.prefixes):
+    if (
+        len(question.prefixes) > ASKED_MOST
+        or not 0 <= question.depth <= most
+        or any(not 0 <= prefix < FAN**question.depth for prefix in question.prefixes)
+    ):
         raise ValueError("not a node of the tree")
     parts = []
     for prefix in question.prefixes:
         if question.entries:
-            parts += [key.to_bytes(8, "big") + bytes((mark,))
-                      for key, mark in catalogue.entries(question.depth, prefix)]
+            parts += [
+                key.to_bytes(8, "big") + bytes((mark,))
+                for key, mark in catalogue.entries(question.depth, prefix)
+            ]
         else:
-            parts += [total.to_bytes(_SUM, "big") + count.to_bytes(2, "big")
-                      for total, count in catalogue.children(question.depth, prefix)]
+            parts += [
+                total.to_bytes(_SUM, "big") + count.to_bytes(2, "big")
+                for total, count in catalogue.children(question.depth, prefix)
+            ]
     return b"".join(parts)
 
 
@@ -155,7 +167,7 @@
             if len(data) % _ENTRY:
                 raise ValueError("entries of another length")
             for at in range(0, len(data), _ENTRY):
-                key = int.from_bytes(data[at:at + 8], "big")
+                key = int.from_bytes(data[at : at + 8], "big")
                 if self._own.lacks(key, data[at + 8]):
                     self.lacking.append(key)
             return
@@ -164,10 +176,9 @@
         at = 0
         for prefix in question.prefixes:
             for child, mine in enumerate(self._own.children(question.depth, prefix), prefix * FAN):
-                total = int.from_bytes(data[at:at + _SUM], "big")
-                count = int.from_bytes(data[at + _SUM:at + _CHILD], "big")
+                total = int.from_bytes(data[at : at + _SUM], "big")
+                count = int.from_bytes(data[at + _SUM : at + _CHILD], "big")
                 at += _CHILD
                 if count and (total, count) != mine:
-                    leaf = (count <= LEAF or (mine[1] == 0 and count <= BULK)
-                            or question.depth + 1 >= DEEPEST)
+                    leaf = count <= LEAF or (mine[1] == 0 and count <= BULK) or question.depth + 1 >= DEEPEST
                     (self._leaves if leaf else self._sums).append((question.depth + 1, child))
--- a/frostfall/copies/holding.py
+++ b/frostfall/copies/holding.py
@@ -94,7 +94,8 @@
             return None
         self.open.pop(name, None)
         if (found is None and item.state is State.NEVER) or (
-                found is not None and found[0] in (item.state, State.SERVED)):
+            found is not None and found[0] in (item.state, State.SERVED)
+        ):
             return Kept(0)
         data = payload(name, item.answer if item.state is State.SERVED else b"")
         return Kept(self._journal.append(Record(item.state, key_of(name), data, found[2] if found else 0)))
--- a/frostfall/copies/repair.py
+++ b/frostfall/copies/repair.py
@@ -60,10 +60,19 @@
 
     def __post_init__(self) -> None:
         """Reckon who keeps whose record."""
-        self._order = {name: holders(name, {other: zone for other, zone in self.zones.items()
-                                            if other == name or other not in self.gone}, len(self.zones))
-                       for name in self.zones}
-        self.ensembles = {name: order[:self.rules.kept] for name, order in self._order.items()}
+        self._order = {
+            name: holders(
+                name,
+                {
+                    other: zone
+                    for other, zone in self.zones.items()
+                    if other == name or other not in self.gone
+                },
+                len(self.zones),
+            )
+            for name in self.zones
+        }
+        self.ensembles = {name: order[: self.rules.kept] for name, order in self._order.items()}
 
     @property
     def owners(self) -> list[str]:
@@ -142,8 +151,10 @@
         kept = {*self.owners, *self._spares}
         self._pairs = {key: pair for key, pair in self._pairs.items() if pair.owner in kept}
         due = [pair for pair in self._pairs.values() if pair.due <= now and pair.party in here]
-        return sorted(due, key=lambda pair: (sum(name in here for name in self.parties(pair.owner)),
-                                             pair.party, pair.owner))
+        return sorted(
+            due,
+            key=lambda pair: (sum(name in here for name in self.parties(pair.owner)), pair.party, pair.owner),
+        )
 
     def taken(self, pair: Pair, now: float, good: bool, sure: bool) -> None:
         """A pair has been compared: `good`: all that was lacking is on disk here; `sure`: the party was."""
--- a/frostfall/interface.py
+++ b/frostfall/interface.py
@@ -357,8 +357,18 @@
 
 
 Event = (
-    ServersListed | RequestArrived | StreamStarted | AttemptEnded | ClientLeft | TimerFired
-    | ProbeEnded | PeerMessage | RolloutNews | BuildTally | AnswerDisputed | ServerSlowed
+    ServersListed
+    | RequestArrived
+    | StreamStarted
+    | AttemptEnded
+    | ClientLeft
+    | TimerFired
+    | ProbeEnded
+    | PeerMessage
+    | RolloutNews
+    | BuildTally
+    | AnswerDisputed
+    | ServerSlowed
 )
 
 # ---- actions -----------------------------------------------------------------------------------
@@ -441,7 +451,14 @@
 
 
 Action = (
-    SendAttempt | CancelAttempt | Refuse | Fail | SetTimer | ProbeServer | TellPeer
-    | Subscribe | CastVote | Log
+    SendAttempt
+    | CancelAttempt
+    | Refuse
+    | Fail
+    | SetTimer
+    | ProbeServer
+    | TellPeer
+    | Subscribe
+    | CastVote
+    | Log
 )
-
--- a/frostfall/keylines.py
+++ b/frostfall/keylines.py
@@ -4,12 +4,15 @@
 
 import re
 
-_TOKEN = re.compile(r"""
+_TOKEN = re.compile(
+    r"""
     (?P<skip>\s+|//[^\n]*|/\*.*?\*/)
   | (?P<text>"(?:\\.|[^"\\])*"|'(?:\\.|[^'\\])*')
   | (?P<mark>[{}\[\]:,])
   | (?P<word>[^\s{}\[\]:,"'/]+)
-""", re.VERBOSE | re.DOTALL)
+""",
+    re.VERBOSE | re.DOTALL,
+)
 _STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
 
 
--- a/frostfall/knowledge/pushsum.py
+++ b/frostfall/knowledge/pushsum.py
@@ -68,8 +68,10 @@
         border = HEAD.size + count * FULL.size
         if len(data) < border:
             return None
-        entries = {key: (NUMBERS[a], NUMBERS[b], -NUMBERS[c])
-                   for key, a, b, c in FULL.iter_unpack(data[HEAD.size:border])}
+        entries = {
+            key: (NUMBERS[a], NUMBERS[b], -NUMBERS[c])
+            for key, a, b, c in FULL.iter_unpack(data[HEAD.size : border])
+        }
         entries |= {key: (NUMBERS[a], NUMBERS[b], 0.0) for key, a, b in PLAIN.iter_unpack(data[border:])}
     except (ValueError, struct.error):
         return None
@@ -111,8 +113,14 @@
         entry = self._entries.get(key)
         return entry.told if entry else (0.0, 0.0, 0.0)
 
-    def offer(self, turn: int, room: int, part: Sequence[float] = (0.0,) * 4, lasting: Set[Key] = frozenset(),
-              most: int = MOST) -> str:
+    def offer(
+        self,
+        turn: int,
+        room: int,
+        part: Sequence[float] = (0.0,) * 4,
+        lasting: Set[Key] = frozenset(),
+        most: int = MOST,
+    ) -> str:
         """What is told to this turn's partner, in so many characters.
 
         Of lasting keys so many are told, the heaviest, from any failure on; others, by kind, if more than a
@@ -121,11 +129,22 @@
         # Danger: with a full list of what fails a little everywhere, what fails most must not be left out;
         # and evidence that is not told would be held against a score that is.
         worth = WORTH / self._agents
-        first = sorted(((key, mix) for key in lasting if (entry := self._entries.get(key))
-                        and (mix := entry.mix)[1] > LEAST), key=lambda item: -item[1][1])
-        heavy = sorted(((key, each.mix) for key, each in self._entries.items() if key not in lasting
-                        and each.mix[1] > max(worth, part[kind_of(key)] * each.mix[0])),
-                       key=lambda item: -item[1][1])
+        first = sorted(
+            (
+                (key, mix)
+                for key in lasting
+                if (entry := self._entries.get(key)) and (mix := entry.mix)[1] > LEAST
+            ),
+            key=lambda item: -item[1][1],
+        )
+        heavy = sorted(
+            (
+                (key, each.mix)
+                for key, each in self._entries.items()
+                if key not in lasting and each.mix[1] > max(worth, part[kind_of(key)] * each.mix[0])
+            ),
+            key=lambda item: -item[1][1],
+        )
         heavy = first[:most] + heavy
         halves = [(key, (mix[0] / 2, mix[1] / 2, mix[2] / 2)) for key, mix in heavy]
         text = encode(turn, halves, room)
--- a/frostfall/knowledge/servers.py
+++ b/frostfall/knowledge/servers.py
@@ -60,8 +60,11 @@
         # A zone's servers together tell sooner than each of them that the zone is lost.
         lost = {zone for zone in {zone for _, zone in fleet} if self._gone(self._zone(zone))}
         gone = [server for server, zone in fleet if zone in lost or self._gone(self._named(server)[1])]
-        return set() if len(gone) > GONE_MOST * len(fleet) else {
-            server for server in gone if draw() >= TRIED_ANYWAY}
+        return (
+            set()
+            if len(gone) > GONE_MOST * len(fleet)
+            else {server for server in gone if draw() >= TRIED_ANYWAY}
+        )
 
     def errors(self, server: Start) -> float:
         """The recent share of failures by what all agents saw, with some doubt; 0 where nothing is known."""
@@ -111,13 +114,14 @@
         # sees too few of their answers to tell, and all of them together would send the build back. But where
         # all machines fail now and then, the worst of many look bad by chance, and would hide a bad build.
         worst = sorted((self.sums.pooled(key) for key in self._trial), key=lambda each: -each[1])
-        worst = [each for each in worst[:self._few] if each[1] >= AGAIN]
+        worst = [each for each in worst[: self._few] if each[1] >= AGAIN]
         while worst:
             rest = tried - sum(each[0] for each in worst)
             rate = (max(failed - sum(each[1] for each in worst), 0.0) + 0.5) / max(rest, 1.0)
             usual = [max(its_tries, its_failures) * rate for its_tries, its_failures, _ in worst]
-            if rest >= least and all(each[1] > expected + 3 * math.sqrt(expected) + 1
-                                     for each, expected in zip(worst, usual)):
+            if rest >= least and all(
+                each[1] > expected + 3 * math.sqrt(expected) + 1 for each, expected in zip(worst, usual)
+            ):
                 return sum(evidence for _, _, evidence in worst)
             worst.pop()
         return 0.0
--- a/frostfall/limits/budget.py
+++ b/frostfall/limits/budget.py
@@ -43,8 +43,11 @@
         for key in ("reader_bytes", "source_bytes", "all_bytes", "grain_bytes", "fast", "kernel_bytes"):
             if getattr(self, key) <= 0:
                 raise ValueError(f"{key}: {getattr(self, key):g} is not above 0")
-        for lower, upper in (("kernel_bytes", "reader_bytes"), ("reader_bytes", "source_bytes"),
-                             ("source_bytes", "all_bytes")):
+        for lower, upper in (
+            ("kernel_bytes", "reader_bytes"),
+            ("reader_bytes", "source_bytes"),
+            ("source_bytes", "all_bytes"),
+        ):
             if getattr(self, lower) > getattr(self, upper):
                 raise ValueError(f"{lower}: {getattr(self, lower)} is over {upper}, {getattr(self, upper)}")
 
@@ -130,8 +133,10 @@
             return None
         if account.waiting > self.allowance.reader_bytes and (account.pace or 0.0) < self.allowance.fast:
             return Scope.READER, name
-        if (self._by_source[account.source] > self.allowance.source_bytes
-                and (chosen := self._sources[account.source].first) is not None):
+        if (
+            self._by_source[account.source] > self.allowance.source_bytes
+            and (chosen := self._sources[account.source].first) is not None
+        ):
             return Scope.SOURCE, chosen
         if self.waiting > self.allowance.all_bytes and (chosen := self._ranking.first) is not None:
             return Scope.ALL, chosen
--- a/frostfall/limits/guard.py
+++ b/frostfall/limits/guard.py
@@ -120,8 +120,7 @@
         return now > side.half_since
 
     def _reads(self, side: Side, now: float, waiting: int, rule: LeastRate | None) -> bool:
-        return rule is not None and self._spent(
-            side.reading, now, side.written - waiting, side.written, rule)
+        return rule is not None and self._spent(side.reading, now, side.written - waiting, side.written, rule)
 
     @staticmethod
     def _spent(meter: Meter, now: float, moved: int, due: int, rule: LeastRate) -> bool:
--- a/frostfall/limits/rules.py
+++ b/frostfall/limits/rules.py
@@ -81,8 +81,11 @@
     @property
     def watches_clients(self) -> bool:
         """Whether clients' connections need to be looked at while answers are on their way to them."""
-        return bool(self.waiting or self.clients.reading
-                    or any(each.reading for each in self.clients.classes.values()))
+        return bool(
+            self.waiting
+            or self.clients.reading
+            or any(each.reading for each in self.clients.classes.values())
+        )
 
     @property
     def watches_servers(self) -> bool:
--- a/frostfall/limits/wheel.py
+++ b/frostfall/limits/wheel.py
@@ -14,6 +14,7 @@
 SLOTS = 1 << BITS
 LEVELS = 4
 
+
 class Timer:
     """One deadline; what has one is a kind of it. A wheel sets it, moves it and calls it off."""
 
@@ -40,8 +41,7 @@
     def __init__(self, turn: int = 0) -> None:
         """Begin at a turn."""
         self.turn = turn
-        self._levels: list[list[dict[Timer, None]]] = [
-            [{} for _ in range(SLOTS)] for _ in range(LEVELS)]
+        self._levels: list[list[dict[Timer, None]]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
         self._count = 0
 
     def __len__(self) -> int:
--- a/frostfall/linalg.py
+++ b/frostfall/linalg.py
@@ -14,8 +14,10 @@
     if agents < 2:
         return 0.0
     spread = 1 << (exchanges - 1)
-    return max(abs(math.sin(spread * math.pi * k / agents) / (spread * math.sin(math.pi * k / agents)))
-               for k in range(1, agents // 2 + 1))
+    return max(
+        abs(math.sin(spread * math.pi * k / agents) / (spread * math.sin(math.pi * k / agents)))
+        for k in range(1, agents // 2 + 1)
+    )
 
 
 def evidence(bad: bool, p0: float, margin: float) -> float:
--- a/frostfall/log.py
+++ b/frostfall/log.py
@@ -23,7 +23,8 @@
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
 
 
 def named(name: str) -> AbstractContextManager[None]:
--- a/frostfall/membership/members.py
+++ b/frostfall/membership/members.py
@@ -107,8 +107,9 @@
             peer.kept, peer.outdated = life, outdated
             peer.life = Life(life.incarnation, life.batch, life.token)
 
-    def heard(self, name: str, life: Life, last: Life, stage: str, clock_ahead: float,
-              doubt: str) -> Answer | None:
+    def heard(
+        self, name: str, life: Life, last: Life, stage: str, clock_ahead: float, doubt: str
+    ) -> Answer | None:
         """A member spoke; `last` is what its folder said when it started. None for a stranger."""
         peer = self.peers.get(name)
         if peer is None:
@@ -117,7 +118,8 @@
         # the member itself has its doubt on disk. So who knew keeps it, and tells it, until then.
         peer.remark = _older(peer.kept, last) if life.token != peer.kept.token else ""
         if life.incarnation < peer.life.incarnation or (
-                life.incarnation == peer.life.incarnation and life.token != peer.life.token):
+            life.incarnation == peer.life.incarnation and life.token != peer.life.token
+        ):
             if peer.health in (Health.UNHEARD, Health.AWAY):
                 peer.health = Health.OLD
             return Answer.REPLACED
@@ -174,8 +176,11 @@
         known = {**tokens, self.own: self.token}
         mine = {name: peer.kept.token for name, peer in self.peers.items()}
         return self.clear and all(
-            told.get(name) == token for who, told in {**lives, self.own: mine}.items()
-            for name, token in known.items() if name != who)
+            told.get(name) == token
+            for who, told in {**lives, self.own: mine}.items()
+            for name, token in known.items()
+            if name != who
+        )
 
     def turn(self) -> list[tuple[str, Health]]:
         """One more attended turn; whose health has changed by it. Turns slept through are none."""
--- a/frostfall/model/agreement.py
+++ b/frostfall/model/agreement.py
@@ -104,8 +104,9 @@
             self._order += 1
             late = self.random.choice((1, 1, 1, 2, 3, 9)) if self.turn <= self._calm else 1
             raw = msgspec.msgpack.encode(word)
-            self.mail.append((self.turn + late, self._order, sender, receiver,
-                              msgspec.msgpack.decode(raw, type=Word)))
+            self.mail.append(
+                (self.turn + late, self._order, sender, receiver, msgspec.msgpack.decode(raw, type=Word))
+            )
 
     def run(self, turns: int, rough: float = 1.0) -> None:
         """Play; Breach where something is not as it has to be. `rough`: how much more goes wrong."""
--- a/frostfall/model/servers.py
+++ b/frostfall/model/servers.py
@@ -50,7 +50,8 @@
         if not self._free:
             self._free = [0] * self.workers
         if sum(busy > now for busy in self._free) == self.workers and (
-                self._free[0] - now > self.queue * self.work // self.workers):
+            self._free[0] - now > self.queue * self.work // self.workers
+        ):
             return api.Outcome.OVERLOADED, now + 1_000
         took = int(draw.expovariate(1 / self.work) * wrong.slow)
         done = max(heapq.heappop(self._free), now) + took
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -80,21 +80,41 @@
         self._guard: Guard[Client] = Guard(config.options.slow_peers)
         self._watchdog = Watchdog()
         self.brain.ejections.pauses = self._guard.rules.servers.apart
-        self._appliances = Appliances(self.clock, config.settings.limits, sockets, self._guard,
-                                      self._watchdog)
-        self._longest = (max(kind.deadline for kind in config.settings.classes)
-                         + config.settings.rules.answer_slack) / 1e6
-        self._clients = Clients(self, sockets, sockets.most // CLIENTS_PART,
-                                config.limits.memory_mb * 1024 * 1024 // UNREAD_PART, self._longest,
-                                self._appliances.evict, self._guard, self._watchdog)
-        self._discovery = Discovery(config.discovery, config.known.generation,
-                                    config.settings.rules.ask_within, self._listed, self._list_failed,
-                                    unasked=not config.settings.must_subscribe)
+        self._appliances = Appliances(
+            self.clock, config.settings.limits, sockets, self._guard, self._watchdog
+        )
+        self._longest = (
+            max(kind.deadline for kind in config.settings.classes) + config.settings.rules.answer_slack
+        ) / 1e6
+        self._clients = Clients(
+            self,
+            sockets,
+            sockets.most // CLIENTS_PART,
+            config.limits.memory_mb * 1024 * 1024 // UNREAD_PART,
+            self._longest,
+            self._appliances.evict,
+            self._guard,
+            self._watchdog,
+        )
+        self._discovery = Discovery(
+            config.discovery,
+            config.known.generation,
+            config.settings.rules.ask_within,
+            self._listed,
+            self._list_failed,
+            unasked=not config.settings.must_subscribe,
+        )
         rollout = config.settings.rollout
-        self._platform = Platform(config.platform, rollout.vote_timeout,
-                                  self._told_news) if config.platform and rollout else None
-        self._peers = Peers(config.peer_listen, config.peers, config.peers_all,
-                            self._heard) if config.peer_listen and config.settings.limits.peers else None
+        self._platform = (
+            Platform(config.platform, rollout.vote_timeout, self._told_news)
+            if config.platform and rollout
+            else None
+        )
+        self._peers = (
+            Peers(config.peer_listen, config.peers, config.peers_all, self._heard)
+            if config.peer_listen and config.settings.limits.peers
+            else None
+        )
         self._stopping = anyio.Event()
         self._recovery: Recovery | None = None
         if config.options.group:
@@ -178,8 +198,11 @@
         if self._recovery and self._recovery.operations.take(parsed, client, deadline):
             return None
         self._requests[parsed.request] = _Request(parsed, client, deadline)
-        self.post(api.RequestArrived(parsed.request, parsed.class_name, deadline, parsed.key, parsed.hint,
-                                     None, parsed.is_retry))
+        self.post(
+            api.RequestArrived(
+                parsed.request, parsed.class_name, deadline, parsed.key, parsed.hint, None, parsed.is_retry
+            )
+        )
         return None
 
     def client_left(self, client: Client) -> None:
@@ -239,8 +262,11 @@
             now = self.clock.now()
             # Danger: an id may have another address by now; what is written to the old one reaches whoever
             # listens there.
-            if request.done or self._addresses.get(action.server) != target or not (
-                    self.brain.may_write(now, action.request, number)):
+            if (
+                request.done
+                or self._addresses.get(action.server) != target
+                or not (self.brain.may_write(now, action.request, number))
+            ):
                 return None
             return request.statement.waiting((deadline - now) // 1000)
 
@@ -252,9 +278,15 @@
         else:
             self._group.start_soon(self._appliances.attempt, attempt, target, write, deadline, done)
 
-    async def _when_clear(self, request: _Request, attempt: Attempt, target: Address,
-                          write: Callable[[], bytes | None], deadline: int,
-                          done: Callable[[Ending], None]) -> None:
+    async def _when_clear(
+        self,
+        request: _Request,
+        attempt: Attempt,
+        target: Address,
+        write: Callable[[], bytes | None],
+        deadline: int,
+        done: Callable[[Ending], None],
+    ) -> None:
         """Carry an attempt through once it may be written; with a record kept, unsafe ones wait for it."""
         assert self._recovery
 
@@ -271,13 +303,20 @@
         else:
             done(Ending(Progress.NOT_WRITTEN, withheld=True, why="not to be written"))
 
-    def _ended(self, request: _Request, action: api.SendAttempt, number: int, began: int,
-               ending: Ending) -> None:
+    def _ended(
+        self, request: _Request, action: api.SendAttempt, number: int, began: int, ending: Ending
+    ) -> None:
         request.out -= 1
         name, outcome = action.request, ending.outcome
         if outcome is not api.Outcome.SUCCESS:
-            _log.debug("attempt ended", request=name, server=action.server, outcome=outcome.name,
-                       progress=ending.progress.name, why=ending.why)
+            _log.debug(
+                "attempt ended",
+                request=name,
+                server=action.server,
+                outcome=outcome.name,
+                progress=ending.progress.name,
+                why=ending.why,
+            )
         if isinstance(ending.answer, Row):
             self._finish(name, ending.answer.data + READY, Final.SERVED)
         if self._recovery:
@@ -336,8 +375,14 @@
     def reload(self, told: Config) -> None:
         """Take over where discovery and the platform are now, and the operators' options; all else stays."""
         old = self._config
-        moved = [key for key, changed in (("discovery", told.discovery != old.discovery),
-                                          ("release_api.address", told.platform != old.platform)) if changed]
+        moved = [
+            key
+            for key, changed in (
+                ("discovery", told.discovery != old.discovery),
+                ("release_api.address", told.platform != old.platform),
+            )
+            if changed
+        ]
         stays = [key for key in NEEDS_RESTART if getattr(told, key) != getattr(old, key)]
         if self._platform and told.platform:
             self._platform.move(told.platform)
@@ -389,8 +434,13 @@
             gc.freeze()  # what the start left stays for good, so that collections need not go through it
             gc.set_threshold(GARBAGE_EVERY)
             limits = self._config.limits
-            _log.info("listening", address=str(self._config.listen), cores=limits.cores,
-                      memory_mb=limits.memory_mb, sockets=limits.sockets)
+            _log.info(
+                "listening",
+                address=str(self._config.listen),
+                cores=limits.cores,
+                memory_mb=limits.memory_mb,
+                sockets=limits.sockets,
+            )
             if ready:
                 ready()
             await self._clients.run(listener)
@@ -420,10 +470,18 @@
                 descriptors = len(os.listdir("/proc/self/fd"))
             except OSError:  # it takes a descriptor to count them
                 descriptors = self._config.limits.sockets
-            _log.info("health", late_ms_most=round(late / 1000, 1), timers=len(self._timers),
-                      memory_mb_most=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
-                      descriptors=descriptors, clients=len(self._clients),
-                      connections=len(self._appliances), requests=len(self._requests),
-                      malformed=dict(self._clients.malformed), shed=self._guard.tally.totals(),
-                      waiting=self._guard.budget.waiting, slept_s=round(self._watchdog.attention.lost, 3))
+            _log.info(
+                "health",
+                late_ms_most=round(late / 1000, 1),
+                timers=len(self._timers),
+                memory_mb_most=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
+                descriptors=descriptors,
+                clients=len(self._clients),
+                connections=len(self._appliances),
+                requests=len(self._requests),
+                malformed=dict(self._clients.malformed),
+                shed=self._guard.tally.totals(),
+                waiting=self._guard.budget.waiting,
+                slept_s=round(self._watchdog.attention.lost, 3),
+            )
             self._clients.malformed.clear()
--- a/frostfall/net/agreement.py
+++ b/frostfall/net/agreement.py
@@ -26,8 +26,15 @@
 class Agreement:
     """One member of the register."""
 
-    def __init__(self, name: str, voters: tuple[str, ...], disk: Disk, note: Callable[[Fact], int],
-                 lines: dict[str, Line], seed: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        voters: tuple[str, ...],
+        disk: Disk,
+        note: Callable[[Fact], int],
+        lines: dict[str, Line],
+        seed: int,
+    ) -> None:
         """`note` writes a fact down and gives its ticket; `recall` is handed what was written before."""
         self._name, self._disk, self._note, self._lines, self._seed = name, disk, note, lines, seed
         self._hard, self._snapshot = Hard(), Snapshot(voters=voters)
@@ -50,8 +57,9 @@
                 self._entries[index] = msgspec.convert(raw, Entry)
             case Agreed(raw):
                 self._snapshot = msgspec.convert(raw, Snapshot)
-                self._entries = {at: entry for at, entry in self._entries.items()
-                                 if at > self._snapshot.index}
+                self._entries = {
+                    at: entry for at, entry in self._entries.items() if at > self._snapshot.index
+                }
 
     def facts(self) -> Iterable[Fact]:
         """What a new segment of the record begins with."""
@@ -133,8 +141,9 @@
         good = self.register.apply(entry.command) if entry.command is not None else False
         if waiting := self._waiting.pop(index, None):
             put, told = waiting
-            mine = entry.command is not None and msgspec.convert(
-                msgspec.to_builtins(entry.command), Put) == put
+            mine = (
+                entry.command is not None and msgspec.convert(msgspec.to_builtins(entry.command), Put) == put
+            )
             told(good and mine)
 
     def _give_up(self) -> None:
--- a/frostfall/net/appliances.py
+++ b/frostfall/net/appliances.py
@@ -98,8 +98,14 @@
 class Appliances:
     """The pool: by address, the connections that wait for a request."""
 
-    def __init__(self, clock: Clock, limits: Limits, sockets: Sockets, guard: Guard[Any] | None = None,
-                 watchdog: Watchdog | None = None) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        limits: Limits,
+        sockets: Sockets,
+        guard: Guard[Any] | None = None,
+        watchdog: Watchdog | None = None,
+    ) -> None:
         """Hold as many connections as there are sockets; `watchdog` has to be run by the owner."""
         self._guard = guard or Guard[Any]()
         self._watchdog = Watchdog() if watchdog is None else watchdog
@@ -114,8 +120,14 @@
         """How many connections are open or being opened."""
         return self._count
 
-    async def attempt(self, attempt: Attempt, address: Address, statement: Callable[[], bytes | None],
-                      deadline: int, done: Callable[[Ending], None]) -> None:
+    async def attempt(
+        self,
+        attempt: Attempt,
+        address: Address,
+        statement: Callable[[], bytes | None],
+        deadline: int,
+        done: Callable[[Ending], None],
+    ) -> None:
         """Carry one attempt through and tell its end, exactly once; the connection goes back to the pool.
 
         `statement` is asked for just before the first byte; with None the attempt is withdrawn.
@@ -125,8 +137,14 @@
         except Exception:
             _log.exception("end of attempt failed")
 
-    async def _attempt(self, attempt: Attempt, address: Address, statement: Callable[[], bytes | None],
-                       deadline: int, done: Callable[[Ending], None]) -> None:
+    async def _attempt(
+        self,
+        attempt: Attempt,
+        address: Address,
+        statement: Callable[[], bytes | None],
+        deadline: int,
+        done: Callable[[Ending], None],
+    ) -> None:
         connection: Connection | None = None
         ending = Ending(Progress.NO_CONNECTION, why="failed")
         try:
@@ -147,13 +165,21 @@
                 ending = await self._exchange(connection, attempt, statement)
                 return
             # Only a scope that ended the wait comes here: the time is over, or the attempt was given up.
-            if connection is not None and not attempt.given_up and not attempt.stalled and (
-                    self._guard.server_unfinished(connection.side, self._watchdog.now)):
+            if (
+                connection is not None
+                and not attempt.given_up
+                and not attempt.stalled
+                and (self._guard.server_unfinished(connection.side, self._watchdog.now))
+            ):
                 attempt.stall(Reason.SERVER_SENDS_SLOWLY)
                 self._guard.tally.note(Reason.SERVER_SENDS_SLOWLY, str(address))
-            ending = Ending(attempt.progress, cancelled=attempt.given_up, stalled=attempt.stalled is not None,
-                            timed_out=not attempt.given_up and attempt.stalled is None,
-                            why=attempt.stalled.value if attempt.stalled else "")
+            ending = Ending(
+                attempt.progress,
+                cancelled=attempt.given_up,
+                stalled=attempt.stalled is not None,
+                timed_out=not attempt.given_up and attempt.stalled is None,
+                why=attempt.stalled.value if attempt.stalled else "",
+            )
         except Exception as error:
             _log.exception("attempt failed")
             ending = Ending(max(attempt.progress, Progress.WRITTEN), why=repr(error))
@@ -171,8 +197,9 @@
             if connection is not None:
                 await self._settle(connection)
 
-    async def _exchange(self, connection: Connection, attempt: Attempt,
-                        statement: Callable[[], bytes | None]) -> Ending:
+    async def _exchange(
+        self, connection: Connection, attempt: Attempt, statement: Callable[[], bytes | None]
+    ) -> Ending:
         machine, stream, side = connection.machine, connection.stream, connection.side
         attempt.progress, connection.attempt, side.half_since = Progress.NOT_WRITTEN, attempt, None
         if (text := statement()) is None:
@@ -206,7 +233,7 @@
         while connection.unwritten:
             if connection.unwritten < len(data):
                 await connection.stream.writable()
-            rest = memoryview(data)[-connection.unwritten:]
+            rest = memoryview(data)[-connection.unwritten :]
             connection.unwritten -= connection.stream.write(rest)
         attempt.progress = Progress.WRITTEN
 
@@ -289,8 +316,9 @@
 
     def evict(self) -> bool:
         """Close the connection that has been idle for longest; False where none is."""
-        oldest = min((each[0] for each in self._idle.values() if each),
-                     key=lambda each: each.idle_since, default=None)
+        oldest = min(
+            (each[0] for each in self._idle.values() if each), key=lambda each: each.idle_since, default=None
+        )
         if oldest is None:
             return False
         self._idle[oldest.address].remove(oldest)
@@ -303,8 +331,7 @@
             await anyio.sleep(SWEEP)
             before = self._clock.now() - self._idle_most
             for address in list(self._idle):
-                stale = [each for each in self._idle[address]
-                         if each.idle_since <= before or not each.usable]
+                stale = [each for each in self._idle[address] if each.idle_since <= before or not each.usable]
                 self._idle[address] = [each for each in self._idle[address] if each not in stale]
                 if not self._idle[address]:
                     del self._idle[address]
--- a/frostfall/net/clients.py
+++ b/frostfall/net/clients.py
@@ -50,8 +50,9 @@
 class Client(Watched):
     """One client's connection."""
 
-    def __init__(self, stream: Stream, front: Front, owner: Clients, crowded: bool = False,
-                 source: str = "") -> None:
+    def __init__(
+        self, stream: Stream, front: Front, owner: Clients, crowded: bool = False, source: str = ""
+    ) -> None:
         """Serve this stream, which came from this address; a crowded one gets one answer, a refusal."""
         super().__init__()
         self.crowded = crowded
@@ -191,7 +192,7 @@
             self._owner.watchdog.arm(self, LOOK)
         if data and not self._out:
             try:
-                data = data[self._stream.write(data):]
+                data = data[self._stream.write(data) :]
             except ENDED:  # the client has gone, so nobody is left to write to
                 self._leave()
                 return
@@ -219,7 +220,7 @@
             while self._out and not self._gone:
                 await self._stream.writable()
                 # Danger: handed over whole, a large value to one client holds up all the others.
-                del self._out[:self._stream.write(self._out[:self._owner.guard.rules.turn.size])]
+                del self._out[: self._stream.write(self._out[: self._owner.guard.rules.turn.size])]
         except ENDED:
             self._leave()
         self._flushed.set()
@@ -353,9 +354,17 @@
     pool's that is idle; then the client's that has been idle for longest after its answer.
     """
 
-    def __init__(self, front: Front, sockets: Sockets, most: int, memory: int, longest: float,
-                 spare: Callable[[], bool], guard: Guard[Client] | None = None,
-                 watchdog: Watchdog | None = None) -> None:
+    def __init__(
+        self,
+        front: Front,
+        sockets: Sockets,
+        most: int,
+        memory: int,
+        longest: float,
+        spare: Callable[[], bool],
+        guard: Guard[Client] | None = None,
+        watchdog: Watchdog | None = None,
+    ) -> None:
         """Hold so many connections at most and so many bytes unread; `spare` may close one of another use.
 
         `watchdog` has to be run by the owner, with `turn` after each of its turns.
--- a/frostfall/net/clock.py
+++ b/frostfall/net/clock.py
@@ -13,8 +13,9 @@
 class Clock:
     """Unix time in microseconds, anchored once and advanced by the monotonic clock: it never goes back."""
 
-    def __init__(self, wall: Callable[[], int] = time.time_ns,
-                 steady: Callable[[], int] = time.monotonic_ns) -> None:
+    def __init__(
+        self, wall: Callable[[], int] = time.time_ns, steady: Callable[[], int] = time.monotonic_ns
+    ) -> None:
         """Anchor the clock."""
         self._steady = steady
         self._offset = wall() - steady()
--- a/frostfall/net/copies.py
+++ b/frostfall/net/copies.py
@@ -64,8 +64,9 @@
 class Copies:
     """One agent's ensemble, and its part in those of others."""
 
-    def __init__(self, own: str, rules: Rules, repair: Repair, members: Members, disk: Disk,
-                 holding: Holding) -> None:
+    def __init__(
+        self, own: str, rules: Rules, repair: Repair, members: Members, disk: Disk, holding: Holding
+    ) -> None:
         """`lines` and `group` are set before anything else is called."""
         self._own, self._rules, self._repair, self._members, self._disk = own, rules, repair, members, disk
         self.holding = holding
@@ -78,8 +79,9 @@
     @property
     def heard(self) -> tuple[int, int]:
         """How many holders are heard whose word counts, and how many a promise needs."""
-        here = sum(self._members.peers[name].health is Health.HERE and self._sound(name)
-                   for name in self.ensemble)
+        here = sum(
+            self._members.peers[name].health is Health.HERE and self._sound(name) for name in self.ensemble
+        )
         return here, min(self.needed, here) if self._rules.few == "take" else self.needed
 
     @property
@@ -90,8 +92,11 @@
     @property
     def _lines_here(self) -> list[str]:
         """Members that are heard, in whatever stand; with `spare` any of them may hold something."""
-        return [name for name in self.lines if self._members.peers[name].health is Health.HERE
-                ] if self._rules.spare else []
+        return (
+            [name for name in self.lines if self._members.peers[name].health is Health.HERE]
+            if self._rules.spare
+            else []
+        )
 
     # ---- one's own record ---------------------------------------------------------------------------
 
@@ -139,8 +144,12 @@
 
     def _send(self, name: str, item: Item, told: Callable[[Message | None], None]) -> None:
         if line := self.lines.get(name):
-            line.call(lambda number: Copy(number, self._own, item.state, item.name, item.answer,
-                                          self._members.token), told)
+            line.call(
+                lambda number: Copy(
+                    number, self._own, item.state, item.name, item.answer, self._members.token
+                ),
+                told,
+            )
         else:
             told(None)
 
@@ -159,8 +168,11 @@
                 answers: list[Message | None] = []
                 event = anyio.Event()
 
-                def told(answer: Message | None, answers: list[Message | None] = answers,
-                         event: anyio.Event = event) -> None:
+                def told(
+                    answer: Message | None,
+                    answers: list[Message | None] = answers,
+                    event: anyio.Event = event,
+                ) -> None:
                     answers.append(answer)
                     event.set()
 
@@ -206,8 +218,9 @@
 
     # ---- settling -------------------------------------------------------------------------------------
 
-    async def settle(self, owner: str, name: str, fence: bool, within: float,
-                     known: Callable[[], bool]) -> Told | None:
+    async def settle(
+        self, owner: str, name: str, fence: bool, within: float, known: Callable[[], bool]
+    ) -> Told | None:
         """Read at an owner's holders what became of an operation, and fence it where they know nothing.
 
         None where too few holders that are sure of their records answer in time.
@@ -223,16 +236,20 @@
                 # whole again without that fence. Who says it again in the same life had its fence at once.
                 again: dict[str, _Said] = {}
                 one = await self._gather(owner, name, fence, known, again)
-                same = [holder for holder, said in again.items() if words.get(holder) == said
-                        and said.told.word is Word.NONE]
+                same = [
+                    holder
+                    for holder, said in again.items()
+                    if words.get(holder) == said and said.told.word is Word.NONE
+                ]
                 if one.word is not Word.NONE or len(same) >= read:
                     return one
                 words.clear()
         last = settled((said.told for said in words.values()), read)
         return last if last is not None and last.word is not Word.NONE else None
 
-    async def _gather(self, owner: str, name: str, fence: bool, known: Callable[[], bool],
-                      words: dict[str, _Said]) -> Told:
+    async def _gather(
+        self, owner: str, name: str, fence: bool, known: Callable[[], bool], words: dict[str, _Said]
+    ) -> Told:
         """Ask all holders, until their words settle it; for ever where too few that are sure answer."""
         ensemble = self._repair.ensembles[owner]
         spares = [name for name in self._lines_here if name not in (owner, *ensemble)]
@@ -253,6 +270,7 @@
                 return Read(number, owner, name, fence and holder in ensemble, self._own, self._members.token)
 
             if holder == self._own and self.group:
+
                 async def own() -> None:
                     told(holder, await self.told(make(0), known, {}))
 
--- a/frostfall/net/discovery.py
+++ b/frostfall/net/discovery.py
@@ -22,8 +22,15 @@
 class Discovery:
     """Runs the watch when asked to; its failure is told, and the next start is the agent's to ask for."""
 
-    def __init__(self, address: Address, since: int | None, ask_within: int,
-                 told: Callable[[Listing], None], failed: Callable[[], None], unasked: bool = False) -> None:
+    def __init__(
+        self,
+        address: Address,
+        since: int | None,
+        ask_within: int,
+        told: Callable[[Listing], None],
+        failed: Callable[[], None],
+        unasked: bool = False,
+    ) -> None:
         """Watch for what is newer than a version; where nobody has to ask, again by itself."""
         self._address = address
         self._since = since
--- a/frostfall/net/disk.py
+++ b/frostfall/net/disk.py
@@ -85,7 +85,7 @@
         """Write all of it behind what stands in the segment."""
         view = memoryview(data)
         while view:
-            view = view[os.write(self._out, view):]
+            view = view[os.write(self._out, view) :]
 
     def sync(self) -> None:
         """Return once what was written is on disk."""
@@ -134,8 +134,13 @@
 class Disk:
     """A journal on a folder."""
 
-    def __init__(self, where: Folder, journal: Journal, steady: Callable[[], float] = monotonic,
-                 blocking: Callable[..., Awaitable[Any]] = run_sync) -> None:
+    def __init__(
+        self,
+        where: Folder,
+        journal: Journal,
+        steady: Callable[[], float] = monotonic,
+        blocking: Callable[..., Awaitable[Any]] = run_sync,
+    ) -> None:
         """Nothing is read or written before `open`; `blocking` calls what blocks, in a thread."""
         self.folder, self.journal, self.blocking = where, journal, blocking
         self._steady, self._started = steady, steady()
@@ -151,6 +156,7 @@
 
     async def open(self, recall: Callable[[bytes], None]) -> None:
         """Take the folder and read all that is there; OSError where it cannot be used at all."""
+
         def read() -> None:
             self.folder.take()
             self.journal.recover(self.folder.numbers(), self.folder.load, recall)
--- a/frostfall/net/group.py
+++ b/frostfall/net/group.py
@@ -39,6 +39,8 @@
 
 _log = log.get("group")
 Reply = Message | None | Awaitable[Message]
+
+
 @dataclass(slots=True)
 class Told:
     """A word on an operation and its answer, and what the teller has on disk of the others' lives."""
@@ -49,8 +51,6 @@
     lives: dict[str, str]
 
 
-
-
 def _nothing(listing: Any) -> None:
     """Nobody waits for a list."""
 
@@ -58,9 +58,16 @@
 class Line:
     """The connection to one member: a word every turn, and questions as they come up."""
 
-    def __init__(self, name: str, address: Address, key: str, every: float,
-                 beat: Callable[[str], Beat | None], heard: Callable[[Beat], None],
-                 who: Callable[[], tuple[str, str]]) -> None:
+    def __init__(
+        self,
+        name: str,
+        address: Address,
+        key: str,
+        every: float,
+        beat: Callable[[str], Beat | None],
+        heard: Callable[[Beat], None],
+        who: Callable[[], tuple[str, str]],
+    ) -> None:
         """Dial this member; `beat` gives the word for it, or None while there is none to give.
 
         `who` gives one's own name and the token of one's life.
@@ -265,8 +272,9 @@
             self._count -= 1
             stream.close()
 
-    async def _answer_all(self, stream: Stream, wire: Wire, messages: list[Message], group: TaskGroup,
-                          turn: anyio.Lock) -> None:
+    async def _answer_all(
+        self, stream: Stream, wire: Wire, messages: list[Message], group: TaskGroup, turn: anyio.Lock
+    ) -> None:
         for message in messages:
             answer = self._answer(message)
             if isinstance(answer, Awaitable):
@@ -284,8 +292,9 @@
             await stream.send(wire.frame(answer))
 
 
-async def order(address: Address, key: str, what: str, who: str = "", name: str = "",
-                value: str = "") -> Report:
+async def order(
+    address: Address, key: str, what: str, who: str = "", name: str = "", value: str = ""
+) -> Report:
     """An operator's word to one member; OSError, Stranger or the end of the stream where it fails."""
     async with connected(address) as stream:
         own = os.urandom(NONCE)
--- a/frostfall/net/operations.py
+++ b/frostfall/net/operations.py
@@ -86,11 +86,26 @@
 class Operations:
     """One agent's operations, between its clients' tries and what `recovery.ledger` decides."""
 
-    def __init__(self, name: str, rules: Group, effects: dict[str, api.Effect], front: Front,
-                 clock: Callable[[], int], steady: Callable[[], float], spread: Spread, ledger: Ledger,
-                 holding: Holding, disk: Disk, members: Members, gates: Gates, facts: Facts,
-                 lines: dict[str, Line], copies: Copies | None,
-                 unreadable: Callable[[Exception], None], whole: Callable[[str], bool]) -> None:
+    def __init__(
+        self,
+        name: str,
+        rules: Group,
+        effects: dict[str, api.Effect],
+        front: Front,
+        clock: Callable[[], int],
+        steady: Callable[[], float],
+        spread: Spread,
+        ledger: Ledger,
+        holding: Holding,
+        disk: Disk,
+        members: Members,
+        gates: Gates,
+        facts: Facts,
+        lines: dict[str, Line],
+        copies: Copies | None,
+        unreadable: Callable[[Exception], None],
+        whole: Callable[[str], bool],
+    ) -> None:
         """`clock` gives microseconds, as deadlines count them; `unreadable` is told of a log that fails.
 
         `whole`: whether the record of an owner that is kept here proves something by what it lacks.
@@ -203,8 +218,13 @@
             return True
         if not self.ledger.under_way(operation):
             return False
-        if self.copies and self.ledger.doubt and operation.ask and not operation.vouched and (
-                not await self._own_past(request, operation, deadline)):
+        if (
+            self.copies
+            and self.ledger.doubt
+            and operation.ask
+            and not operation.vouched
+            and (not await self._own_past(request, operation, deadline))
+        ):
             return False
         ticket = self.ledger.intend(operation)
         self.disk.poke()
@@ -213,14 +233,21 @@
                 await self._find_out(request, operation, deadline)
                 return False
             sure = operation.cleared or not operation.ask
-            self._front.conclude(request, self._come_again() if sure else failed(),
-                                 Final.REFUSED if sure else Final.FAILED)
+            self._front.conclude(
+                request, self._come_again() if sure else failed(), Final.REFUSED if sure else Final.FAILED
+            )
             return False
         if operation.ask and not operation.cleared and not await self._ask(request, operation, deadline):
             return False
         # Danger: noted after the write, a disk that fails meanwhile would make it look as if there was none.
-        let = (not over() and self.ledger.under_way(operation) and self.ledger.may_write(operation)
-               and not self.members.contested and not self.members.replaced_by and self._stands(operation))
+        let = (
+            not over()
+            and self.ledger.under_way(operation)
+            and self.ledger.may_write(operation)
+            and not self.members.contested
+            and not self.members.replaced_by
+            and self._stands(operation)
+        )
         operation.written = operation.written or let
         return let
 
@@ -241,8 +268,9 @@
 
             async def promise() -> None:
                 assert self.copies
-                promised[0] = await self.copies.promise(Item(State.OPEN, operation.name), late,
-                                                        operation.acknowledged)
+                promised[0] = await self.copies.promise(
+                    Item(State.OPEN, operation.name), late, operation.acknowledged
+                )
 
             group.start_soon(promise)
             durable = await self.disk.durable(ticket)
@@ -283,8 +311,11 @@
                 await anyio.sleep(POLL)
                 words = await self._words(name, under_way, POLL * 4)
                 known = _ended(words)
-                under_way = [member for member in under_way
-                             if member not in words or words[member].word == Word.OPEN.value]
+                under_way = [
+                    member
+                    for member in under_way
+                    if member not in words or words[member].word == Word.OPEN.value
+                ]
         answer = self._told(known) if known else failed()
         served = known is not None and known.word is Word.SERVED and known.answer is not None
         self._front.conclude(request, answer, Final.SERVED if served else Final.FAILED)
@@ -295,8 +326,9 @@
         self._end(operation, State.NEVER)
         known = await self._known_elsewhere(operation.name, deadline)
         served = known is not None and known.word is Word.SERVED and known.answer is not None
-        self._front.conclude(request, self._told(known) if known else failed(),
-                             Final.SERVED if served else Final.FAILED)
+        self._front.conclude(
+            request, self._told(known) if known else failed(), Final.SERVED if served else Final.FAILED
+        )
 
     async def _look_up(self, name: str, one: _Try, deadline: int) -> None:
         """The same for a try that came while no unsafe work is taken here."""
@@ -310,8 +342,9 @@
         silent = [self._name, *_silent(words, others), *self._gone]
         return _best([_ended(words), *await self._read(name, silent, False, deadline)])
 
-    async def _read(self, name: str, owners: list[str], fence: bool,
-                    deadline: int) -> list[operations.Told | None]:
+    async def _read(
+        self, name: str, owners: list[str], fence: bool, deadline: int
+    ) -> list[operations.Told | None]:
         """What the holders of these owners' records say of an operation, all read at once."""
         found: list[operations.Told | None] = [None] * len(owners)
         if self.copies is None or not owners:
@@ -327,8 +360,9 @@
                 group.start_soon(read, place, owner)
         return found
 
-    async def _settle(self, operation: Operation, words: dict[str, Told], others: list[str],
-                      deadline: int) -> operations.Told | None:
+    async def _settle(
+        self, operation: Operation, words: dict[str, Told], others: list[str], deadline: int
+    ) -> operations.Told | None:
         """How it ended by the words and by what those who cannot tell have left at their holders.
 
         `cleared` where nobody can have run it.
@@ -340,9 +374,17 @@
                 return known
             return _best([known, *await self._read(operation.name, silent + self._gone, False, deadline)])
         none = {member: told for member, told in words.items() if told.word == Word.NONE.value}
-        if self.copies is None or len(none) + len(silent) < len(others) or not self.members.clear or (
-                not self.members.agree({member: told.token for member, told in none.items()},
-                                       {member: told.lives for member, told in none.items()})):
+        if (
+            self.copies is None
+            or len(none) + len(silent) < len(others)
+            or not self.members.clear
+            or (
+                not self.members.agree(
+                    {member: told.token for member, told in none.items()},
+                    {member: told.lives for member, told in none.items()},
+                )
+            )
+        ):
             return None
         read = await self._read(operation.name, silent + self._gone, True, deadline)
         if any(told is None or told.word is not Word.NONE for told in read):
@@ -355,7 +397,7 @@
 
         Asked before the present intent goes to them; nobody else writes under this member's name.
         """
-        told, = await self._read(operation.name, [self._name], False, deadline)
+        (told,) = await self._read(operation.name, [self._name], False, deadline)
         operation.vouched = told is not None and told.word is Word.NONE
         if not operation.vouched:
             # Danger: an earlier try here may have failed and one elsewhere have been served.
@@ -421,7 +463,7 @@
         if end is Final.SERVED:
             if under_way:
                 operation.waiting.insert(0, one)
-                self._end(operation, State.SERVED, answer[:-len(READY)])
+                self._end(operation, State.SERVED, answer[: -len(READY)])
             else:
                 one.tell(answer)
                 self._tell(operation, answer)  # it was served elsewhere
--- a/frostfall/net/peers.py
+++ b/frostfall/net/peers.py
@@ -22,8 +22,13 @@
 class Peers:
     """Sends to agents by their numbers and tells what they send."""
 
-    def __init__(self, listen: Address, peers: tuple[Address, ...], everyone: Address | None,
-                 told: Callable[[int, str], None]) -> None:
+    def __init__(
+        self,
+        listen: Address,
+        peers: tuple[Address, ...],
+        everyone: Address | None,
+        told: Callable[[int, str], None],
+    ) -> None:
         """Listen here; agents are numbered by their place in `peers`."""
         self._listen, self._peers, self._everyone, self._told = listen, peers, everyone, told
         self._numbers = {(peer.host, peer.port): number for number, peer in enumerate(peers)}
@@ -33,8 +38,9 @@
     def tell(self, peer: int | None, text: str) -> None:
         """Send one message to an agent, or to all with None; what cannot be sent is dropped."""
         data = text.encode()
-        target = self._everyone if peer is None else (
-            self._peers[peer] if 0 <= peer < len(self._peers) else None)
+        target = (
+            self._everyone if peer is None else (self._peers[peer] if 0 <= peer < len(self._peers) else None)
+        )
         if target is None or len(data) > DATAGRAM_MOST:
             _log.warning("message dropped", peer=peer, size=len(data))
             return
@@ -45,9 +51,12 @@
         """Send and receive."""
         while True:
             try:
-                async with await anyio.create_udp_socket(
-                        family=socket.AF_INET, local_host=self._listen.host,
-                        local_port=self._listen.port) as udp, anyio.create_task_group() as group:
+                async with (
+                    await anyio.create_udp_socket(
+                        family=socket.AF_INET, local_host=self._listen.host, local_port=self._listen.port
+                    ) as udp,
+                    anyio.create_task_group() as group,
+                ):
                     group.start_soon(self._send, udp)
                     async for data, (host, port) in udp:
                         self._receive(data, host, port)
--- a/frostfall/net/platform.py
+++ b/frostfall/net/platform.py
@@ -33,8 +33,7 @@
 class Platform:
     """Keeps one listening connection up; its news and the answers to votes are told as they come."""
 
-    def __init__(self, address: Address, vote_timeout: int,
-                 told: Callable[[RolloutNews], None]) -> None:
+    def __init__(self, address: Address, vote_timeout: int, told: Callable[[RolloutNews], None]) -> None:
         """Talk to the platform at this address."""
         self._address = address
         self._vote_timeout = vote_timeout / 1e6
@@ -121,22 +120,25 @@
                 self._told(state)
             case rpc.Notification(method, _):
                 return None if method == news.PING else f"an unknown notification {method[:20]!r}"
-            case rpc.Result(number, value) if (vote := self._sent.get(number)):
+            case rpc.Result(number, value) if vote := self._sent.get(number):
                 # Danger: told by the vote's own task, a state would come after newer news that was read with
                 # it, and bring back an older stage; after the vote's time-out it would not be told at all.
                 state = news.read(value, VoteReply.NONE if vote.over else VoteReply.COUNTED)
                 if isinstance(state, str):
                     return state
                 self._settle(number, vote, state)
-            case rpc.Failure(number, text) if (vote := self._sent.get(number)):
+            case rpc.Failure(number, text) if vote := self._sent.get(number):
                 self._settle(number, vote, news.without_state(vote.action, news.reply_to_error(text)))
         return None
 
     def _settle(self, number: int, vote: _Vote, answer: RolloutNews) -> None:
         """Tell what became of a vote, in the order in which it was told here."""
         # Answers come in order: what has timed out and was asked before this gets none any more.
-        self._sent = {other: each for other, each in self._sent.items()
-                      if other != number and (other > number or not each.over)}
+        self._sent = {
+            other: each
+            for other, each in self._sent.items()
+            if other != number and (other > number or not each.over)
+        }
         if not vote.over:
             self._end(vote, answer)
         elif answer.reply is VoteReply.NONE:
@@ -146,8 +148,13 @@
         vote.over = True
         vote.done.set()
         action = vote.action
-        _log.info("vote", build=action.build, stage=action.stage, verdict=action.verdict.name,
-                  reply=answer.reply.name)
+        _log.info(
+            "vote",
+            build=action.build,
+            stage=action.stage,
+            verdict=action.verdict.name,
+            reply=answer.reply.name,
+        )
         self._told(answer)
 
     async def _vote(self, action: CastVote) -> None:
