--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -77,8 +77,9 @@
 class Recovery:
     """One agent's record, group and gates."""
 
-    def __init__(self, config: Config, front: Front, clock: Callable[[], int],
-                 parts: Parts | None = None) -> None:
+    def __init__(
+        self, config: Config, front: Front, clock: Callable[[], int], parts: Parts | None = None
+    ) -> None:
         """Prepare; nothing is read before `run`. `clock` gives microseconds, as deadlines count them."""
         rules = config.options.group
         assert isinstance(rules, Group)
@@ -87,8 +88,13 @@
         self._parts = parts = parts or Parts()
         self._wall, self._steady = parts.wall, parts.steady
         self.disk = Disk(parts.folder(Path(rules.data)), self.journal, parts.steady, parts.blocking)
-        self.ledger = Ledger(self.journal, self.disk.find, rules.retries_marked, rules.store.answer_bytes,
-                             rules.copies is not None)
+        self.ledger = Ledger(
+            self.journal,
+            self.disk.find,
+            rules.retries_marked,
+            rules.store.answer_bytes,
+            rules.copies is not None,
+        )
         self.holding = Holding(self.journal, self.disk.find)
         self.members = Members(config.name, tuple(member.name for member in rules.here), rules.turns)
         self.gates = Gates(len(rules.here), rules.retries_marked, rules.waits)
@@ -97,16 +103,35 @@
         zones = {member.name: member.zone for member in rules.members}
         gone = frozenset(member.name for member in rules.members if member.gone)
         repair = Repair(config.name, zones, rules.copies, gone) if rules.copies else None
-        self.copies = Copies(config.name, rules.copies, repair, self.members, self.disk,
-                             self.holding) if rules.copies and repair else None
-        self.repairing = Repairing(repair, self.disk, self.ledger, self.holding, self.members, self._lines,
-                                   parts.steady, self._whole_for, self._restored,
-                                   self._rotten) if repair else None
+        self.copies = (
+            Copies(config.name, rules.copies, repair, self.members, self.disk, self.holding)
+            if rules.copies and repair
+            else None
+        )
+        self.repairing = (
+            Repairing(
+                repair,
+                self.disk,
+                self.ledger,
+                self.holding,
+                self.members,
+                self._lines,
+                parts.steady,
+                self._whole_for,
+                self._restored,
+                self._rotten,
+            )
+            if repair
+            else None
+        )
         self._keeps = Keeps([], [])
         self.words = Words(frozenset(self.members.peers))
         names = tuple(sorted(member.name for member in rules.here))
-        self.agreement = Agreement(config.name, names, self.disk, self._note, self._lines,
-                                   config.seed) if rules.agreement else None
+        self.agreement = (
+            Agreement(config.name, names, self.disk, self._note, self._lines, config.seed)
+            if rules.agreement
+            else None
+        )
         self._last = Life()  # one's own last life, as the folder says
         self._gone_back = 0
         self._list: KnownList | None = None
@@ -115,9 +140,24 @@
         self._began = self._steady()
         effects = {kind.name: kind.effect for kind in config.settings.classes}
         self.operations = Operations(
-            config.name, rules, effects, front, clock, parts.steady, Spread(AT_EASE, config.seed ^ 0x5EED),
-            self.ledger, self.holding, self.disk, self.members, self.gates, self.facts, self._lines,
-            self.copies, self._unreadable, self._whole_of)
+            config.name,
+            rules,
+            effects,
+            front,
+            clock,
+            parts.steady,
+            Spread(AT_EASE, config.seed ^ 0x5EED),
+            self.ledger,
+            self.holding,
+            self.disk,
+            self.members,
+            self.gates,
+            self.facts,
+            self._lines,
+            self.copies,
+            self._unreadable,
+            self._whole_of,
+        )
         window = config.settings.rollout.window if config.settings.rollout else 0
         self._window = window / 1e6
         self._relist: Callable[[Listing], None] = lambda listing: None
@@ -148,8 +188,15 @@
                     if member.name != self._name:
                         host, _, port = member.address.rpartition(":")
                         where = Address(host.strip("[]"), int(port))
-                        line = self._parts.line(member.name, where, self.rules.key, self.rules.turns.every,
-                                                self._beat, self._heard, self._who)
+                        line = self._parts.line(
+                            member.name,
+                            where,
+                            self.rules.key,
+                            self.rules.turns.every,
+                            self._beat,
+                            self._heard,
+                            self._who,
+                        )
                         self._lines[member.name] = line
                         group.start_soon(line.run)
                 group.start_soon(self._turns)
@@ -185,8 +232,9 @@
             _log.warning("no record: operators have to accept that, or to set `new` in the group's section")
         if self.repairing:
             fresh = self.journal.condition is Condition.FRESH
-            self.repairing.repair.keeps(self.repairing.repair.owners if fresh else self._keeps.owners,
-                                        self._keeps.members)
+            self.repairing.repair.keeps(
+                self.repairing.repair.owners if fresh else self._keeps.owners, self._keeps.members
+            )
         self.facts.read = True
         if self._list:
             try:
@@ -197,9 +245,15 @@
                 _log.info("remembered list", age_s=round(self._wall() - self._list.at, 1))
             except msgspec.ValidationError as error:
                 _log.warning("remembered list cannot be read", why=str(error))
-        _log.info("record read", condition=self.journal.condition.value, segments=self.journal.segments,
-                  torn_bytes=self.journal.torn, operations=len(self.journal.index),
-                  lost=len(self.ledger.lost), last_life=self._last.incarnation)
+        _log.info(
+            "record read",
+            condition=self.journal.condition.value,
+            segments=self.journal.segments,
+            torn_bytes=self.journal.torn,
+            operations=len(self.journal.index),
+            lost=len(self.ledger.lost),
+            last_life=self._last.incarnation,
+        )
         self._touch()
 
     def _open_copy(self, name: str) -> bool:
@@ -238,11 +292,17 @@
                 self._list = known
 
     def _facts(self) -> Iterable[Record]:
-        own = (self.members.incarnation, self.members.token) if self.members.incarnation else (
-            self._last.incarnation, self._last.token)
+        own = (
+            (self.members.incarnation, self.members.token)
+            if self.members.incarnation
+            else (self._last.incarnation, self._last.token)
+        )
         kept: list[Fact] = [written.Life(*own)] if own[0] else []
-        kept += [Seen(name, peer.kept.incarnation, peer.kept.batch, peer.kept.token, peer.outdated)
-                 for name, peer in self.members.peers.items() if peer.kept.incarnation]
+        kept += [
+            Seen(name, peer.kept.incarnation, peer.kept.batch, peer.kept.token, peer.outdated)
+            for name, peer in self.members.peers.items()
+            if peer.kept.incarnation
+        ]
         if self.facts.doubt or self._mute:
             kept.append(Doubt(self.facts.doubt, self._mute))
         if self._gone_back:
@@ -254,8 +314,11 @@
             kept.append(self.repairing.keeps())
         if self.agreement:
             kept += self.agreement.facts()
-        return [*(Record(State.FACT, 0, written.encode(fact)) for fact in kept), *self.ledger.carried(),
-                *self.holding.carried()]
+        return [
+            *(Record(State.FACT, 0, written.encode(fact)) for fact in kept),
+            *self.ledger.carried(),
+            *self.holding.carried(),
+        ]
 
     def _note(self, fact: Fact) -> int:
         ticket = self.journal.append(Record(State.FACT, 0, written.encode(fact)))
@@ -336,8 +399,10 @@
         doubting = [name for name, peer in self.members.peers.items() if peer.doubt]
         if bool(facts.doubt) + len(doubting) >= self.members.majority and "majority" not in self._noted:
             self._noted.add("majority")
-            _log.error("a majority has come back without its records", members=sorted(
-                [*doubting, *([self._name] if facts.doubt else [])]))
+            _log.error(
+                "a majority has come back without its records",
+                members=sorted([*doubting, *([self._name] if facts.doubt else [])]),
+            )
         for gate in self.gates.judge(now, facts):
             point = self.gates.points[gate]
             _log.info("gate", gate=gate.value, stand=point.stand.value, why=point.why, after_s=round(now, 3))
@@ -356,14 +421,23 @@
         if not self.members.incarnation or not self.facts.identity or peer is None:
             return None
         kept, waiting = peer.kept, self.gates.waited_for()
-        return Beat(self._name, self.members.incarnation, self.journal.on_disk, self.members.token,
-                    self._wall(), waiting[0].value if waiting else "",
-                    self.facts.doubt if self._doubt_on_disk else "",
-                    (self._last.incarnation, self._last.batch, self._last.token),
-                    (kept.incarnation, kept.batch, kept.token), peer.health is Health.HERE,
-                    peer.remark or peer.outdated, gone_back=self._gone_back,
-                    list=self._generation if self.facts.list_told else -1, word=self.words.own,
-                    kept_word=self.words.kept.get(member, NONE))
+        return Beat(
+            self._name,
+            self.members.incarnation,
+            self.journal.on_disk,
+            self.members.token,
+            self._wall(),
+            waiting[0].value if waiting else "",
+            self.facts.doubt if self._doubt_on_disk else "",
+            (self._last.incarnation, self._last.batch, self._last.token),
+            (kept.incarnation, kept.batch, kept.token),
+            peer.health is Health.HERE,
+            peer.remark or peer.outdated,
+            gone_back=self._gone_back,
+            list=self._generation if self.facts.list_told else -1,
+            word=self.words.own,
+            kept_word=self.words.kept.get(member, NONE),
+        )
 
     def _heard(self, beat: Beat) -> None:
         # Danger: held against a folder that has not been read yet, what others know of it looks like more.
@@ -410,6 +484,7 @@
             self._note(Hold(mine[1], bool(mine[1]), mine[0]))
             _log.warning("votes", order="as others know it", who=mine[1])
         if theirs:
+
             def noted(good: bool) -> None:
                 if good:
                     self.words.recall(beat.name, theirs)
@@ -475,8 +550,11 @@
     def _restored(self) -> None:
         """All that this record lacked has been taken over from enough others."""
         assert self.repairing
-        _log.warning("the record is whole by its copies", doubt=self.facts.doubt,
-                     owners=sorted(self.repairing.repair.lost))
+        _log.warning(
+            "the record is whole by its copies",
+            doubt=self.facts.doubt,
+            owners=sorted(self.repairing.repair.lost),
+        )
         self._doubt_over()
 
     def _doubt_over(self) -> int:
@@ -517,13 +595,15 @@
                 return self._beat(message.name)
             case Ask(number, names, sender, token):
                 known = self._knows(sender, token)
-                return Tell(number, [self._asked(name, known) for name in names], self.members.token,
-                            self._lives())
+                return Tell(
+                    number, [self._asked(name, known) for name in names], self.members.token, self._lives()
+                )
             case Copy() if self.copies and self.disk.opened and self.facts.read:
                 return self.copies.keep(message)
             case Read(sender=sender, token=token) if self.copies and self.disk.opened and self.facts.read:
-                return self.copies.told(message, lambda: self._whole_for(message.owner, sender, token),
-                                        self._lives())
+                return self.copies.told(
+                    message, lambda: self._whole_for(message.owner, sender, token), self._lives()
+                )
             case Compare() if self.repairing and self.disk.opened and self.facts.read:
                 return self.repairing.told(message)
             case Agree() if self.agreement and not self.facts.doubt:
@@ -596,27 +676,51 @@
         """What operators see."""
         journal, waiting = self.journal, self.gates.waited_for()
         return {
-            "name": self._name, "life": self.members.incarnation, "record": journal.condition.value,
-            "why": self.facts.unusable or journal.fault, "doubt": self.facts.doubt,
-            "waits_for": waiting[0].value if waiting else "", "because": waiting[1] if waiting else "",
-            "gates": {gate.value: [point.stand.value, point.why, round(point.since, 3)]
-                      for gate, point in self.gates.points.items()},
-            "members": {name: [peer.health.value, peer.life.incarnation, peer.stage, peer.doubt,
-                               round(peer.clock_ahead, 3)] for name, peer in self.members.peers.items()},
-            "bytes": journal.bytes, "segments": journal.segments, "operations": len(journal.index),
-            "copies": len(self.holding.open), "holders": list(self.copies.ensemble) if self.copies else [],
-            "open": len(self.ledger.live), "lost": len(self.ledger.lost), "held": self.facts.held,
-            "commits": self.disk.commits, "mute": self._mute,
+            "name": self._name,
+            "life": self.members.incarnation,
+            "record": journal.condition.value,
+            "why": self.facts.unusable or journal.fault,
+            "doubt": self.facts.doubt,
+            "waits_for": waiting[0].value if waiting else "",
+            "because": waiting[1] if waiting else "",
+            "gates": {
+                gate.value: [point.stand.value, point.why, round(point.since, 3)]
+                for gate, point in self.gates.points.items()
+            },
+            "members": {
+                name: [
+                    peer.health.value,
+                    peer.life.incarnation,
+                    peer.stage,
+                    peer.doubt,
+                    round(peer.clock_ahead, 3),
+                ]
+                for name, peer in self.members.peers.items()
+            },
+            "bytes": journal.bytes,
+            "segments": journal.segments,
+            "operations": len(journal.index),
+            "copies": len(self.holding.open),
+            "holders": list(self.copies.ensemble) if self.copies else [],
+            "open": len(self.ledger.live),
+            "lost": len(self.ledger.lost),
+            "held": self.facts.held,
+            "commits": self.disk.commits,
+            "mute": self._mute,
             "few_copies": self.copies is not None and self.copies.few,
-            "to_compare": self.repairing.repair.waiting if self.repairing else 0, **self._agreed(),
+            "to_compare": self.repairing.repair.waiting if self.repairing else 0,
+            **self._agreed(),
         }
 
     def _agreed(self) -> dict[str, Any]:
         if self.agreement is None or self.agreement.raft is None:
             return {}
         raft, register = self.agreement.raft, self.agreement.register
-        return {"leader": raft.leader, "term": raft.hard.term,
-                "register": {key: [cell.value, cell.version] for key, cell in register.items()}}
+        return {
+            "leader": raft.leader,
+            "term": raft.hard.term,
+            "register": {key: [cell.value, cell.version] for key, cell in register.items()},
+        }
 
     # ---- what the agent tells ----------------------------------------------------------------------
 
--- a/frostfall/net/repair.py
+++ b/frostfall/net/repair.py
@@ -43,9 +43,19 @@
 class Repairing:
     """One agent's rounds, and its answers in those of others."""
 
-    def __init__(self, repair: Repair, disk: Disk, ledger: Ledger, holding: Holding, members: Members,
-                 lines: dict[str, Line], steady: Callable[[], float], sure: Callable[[str, str, str], bool],
-                 restored: Callable[[], None], rotten: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        repair: Repair,
+        disk: Disk,
+        ledger: Ledger,
+        holding: Holding,
+        members: Members,
+        lines: dict[str, Line],
+        steady: Callable[[], float],
+        sure: Callable[[str, str, str], bool],
+        restored: Callable[[], None],
+        rotten: Callable[[str], None],
+    ) -> None:
         """`sure`: whether an owner's record is whole here and this sender's life is on disk.
 
         `restored` is called when all that was lost is back, `rotten` when the log cannot be read any more.
@@ -229,8 +239,12 @@
                 _log.info("not compared", owner=pair.owner, party=pair.party, why=str(error))
             self.repair.taken(pair, self._steady(), good, sure)
         if self.taken > before:
-            _log.info("taken over", operations=self.taken - before, bytes=self.bytes - size,
-                      seconds=round(self._steady() - began, 3))
+            _log.info(
+                "taken over",
+                operations=self.taken - before,
+                bytes=self.bytes - size,
+                seconds=round(self._steady() - began, 3),
+            )
 
     async def _take_over(self, pair: Pair, own: Records, session: int) -> bool:
         """Take what a party has of an owner's record and this member lacks; whether the party was sure."""
@@ -260,8 +274,9 @@
                 own[pair.owner, fences] = await self._disk.blocking(mine.with_more, had)
         return sure
 
-    async def _ask(self, pair: Pair, fences: bool, what: int, depth: int, asked: list[int],
-                   session: int) -> Compared:
+    async def _ask(
+        self, pair: Pair, fences: bool, what: int, depth: int, asked: list[int], session: int
+    ) -> Compared:
         told: list[Message | None] = []
         came = anyio.Event()
 
@@ -270,8 +285,19 @@
             came.set()
 
         self._lines[pair.party].call(
-            lambda number: Compare(number, pair.owner, fences, what, depth, asked, self._members.own,
-                                   self._members.token, session), take)
+            lambda number: Compare(
+                number,
+                pair.owner,
+                fences,
+                what,
+                depth,
+                asked,
+                self._members.own,
+                self._members.token,
+                session,
+            ),
+            take,
+        )
         with anyio.move_on_after(ANSWER):
             await came.wait()
         if not told or not isinstance(told[0], Compared):
--- a/frostfall/program.py
+++ b/frostfall/program.py
@@ -60,4 +60,3 @@
         sys.stderr.write(f"frostfall: listen: {told.listen}: {fault}\n")
         return 1
     return 0
-
--- a/frostfall/protocol/buffer.py
+++ b/frostfall/protocol/buffer.py
@@ -28,12 +28,12 @@
     def peek(self, count: int, offset: int = 0) -> bytes:
         """Up to so many unread bytes, which stay unread."""
         first = self._start + offset
-        return bytes(self._bytes[first:first + count])
+        return bytes(self._bytes[first : first + count])
 
     def number(self, offset: int) -> int:
         """The four unread bytes at an offset, which must be there, as a number."""
         first = self._start + offset
-        return int.from_bytes(self._bytes[first:first + 4])
+        return int.from_bytes(self._bytes[first : first + 4])
 
     def first(self) -> int:
         """The first unread byte, which must be there."""
@@ -41,13 +41,13 @@
 
     def take(self, count: int) -> bytes:
         """The next bytes, which must be there."""
-        data = bytes(self._bytes[self._start:self._start + count])
+        data = bytes(self._bytes[self._start : self._start + count])
         self._start += count
         if self._start == len(self._bytes):
             self._bytes.clear()
             self._start = 0
         elif self._start >= COMPACT_AT:
-            del self._bytes[:self._start]
+            del self._bytes[: self._start]
             self._start = 0
         return data
 
--- a/frostfall/protocol/entries.py
+++ b/frostfall/protocol/entries.py
@@ -32,9 +32,14 @@
 def server(entry: Entry) -> api.Server:
     """One entry."""
     return api.Server(
-        id=server_id(entry.instance_id), build=entry.build, zone=entry.zone, cell=entry.cell,
-        size=entry.weight, started_at=int(entry.started_at_ms * 1000),
-        availability=_AVAILABILITY[entry.lifecycle])
+        id=server_id(entry.instance_id),
+        build=entry.build,
+        zone=entry.zone,
+        cell=entry.cell,
+        size=entry.weight,
+        started_at=int(entry.started_at_ms * 1000),
+        availability=_AVAILABILITY[entry.lifecycle],
+    )
 
 
 def listed(listing: Listing, kind: api.ListKind) -> api.ServersListed:
--- a/frostfall/protocol/group.py
+++ b/frostfall/protocol/group.py
@@ -155,7 +155,8 @@
 
 Message = Beat | Ask | Tell | Copy | Copied | Read | Compare | Compared | Agree | Want | Have | Order | Report
 _DECODER = msgspec.msgpack.Decoder(
-    Beat | Ask | Tell | Copy | Copied | Read | Compare | Compared | Agree | Want | Have | Order | Report)
+    Beat | Ask | Tell | Copy | Copied | Read | Compare | Compared | Agree | Want | Have | Order | Report
+)
 
 
 class Stranger(Exception):
@@ -192,12 +193,12 @@
                 raise Stranger("a frame over the limit")
             if len(self._data) < _HEAD.size + length:
                 break
-            body = bytes(self._data[_HEAD.size:_HEAD.size + length])
+            body = bytes(self._data[_HEAD.size : _HEAD.size + length])
             assert self._keys
             self._received += 1
             if not hmac.compare_digest(checksum, _sum(self._keys[1], self._received, body)):
                 raise Stranger("a frame with another key")
-            del self._data[:_HEAD.size + length]
+            del self._data[: _HEAD.size + length]
             try:
                 found.append(_DECODER.decode(body))
             except msgspec.MsgspecError as error:
@@ -213,8 +214,10 @@
 
     def _derive(self, theirs: bytes) -> None:
         first, second = (theirs, self._own) if self._dialled else (self._own, theirs)
-        out, back = (blake2b(first + second + way, key=_key(self._shared), digest_size=32).digest()
-                     for way in (b">", b"<"))
+        out, back = (
+            blake2b(first + second + way, key=_key(self._shared), digest_size=32).digest()
+            for way in (b">", b"<")
+        )
         self._keys = (out, back) if self._dialled else (back, out)
 
 
--- a/frostfall/protocol/news.py
+++ b/frostfall/protocol/news.py
@@ -48,8 +48,14 @@
         return f"unknown mode {state.mode!r} - at `$.mode`"
     if not 0 <= state.exposure <= 1:
         return f"{state.exposure} is no share - at `$.exposure`"
-    return api.RolloutNews(build=state.release, stage=state.tranche, phase=_PHASES[state.mode],
-                           cap=state.exposure, age=max(int(state.old_ms * 1000), 0), reply=reply)
+    return api.RolloutNews(
+        build=state.release,
+        stage=state.tranche,
+        phase=_PHASES[state.mode],
+        cap=state.exposure,
+        age=max(int(state.old_ms * 1000), 0),
+        reply=reply,
+    )
 
 
 def vote(action: api.CastVote) -> dict[str, Any]:
--- a/frostfall/protocol/pg_client.py
+++ b/frostfall/protocol/pg_client.py
@@ -144,14 +144,14 @@
     name = payload.find(b"\0", 2)
     if payload[:2] != b"\0\x01" or name < 0 or len(payload) != name + 1 + _COLUMN.size:
         return False
-    return bool(_COLUMN.unpack(payload[name + 1:])[-1] == _BINARY)
+    return bool(_COLUMN.unpack(payload[name + 1 :])[-1] == _BINARY)
 
 
 def _holds(payload: bytes) -> bool:
     """Whether it is a DataRow of one value, not null, whose length fits."""
     if len(payload) < _VALUE.size:
         return False
-    columns, length = _VALUE.unpack(payload[:_VALUE.size])
+    columns, length = _VALUE.unpack(payload[: _VALUE.size])
     return bool(columns == 1 and length == len(payload) - _VALUE.size and length <= VALUE_MOST)
 
 
--- a/frostfall/protocol/pg_server.py
+++ b/frostfall/protocol/pg_server.py
@@ -40,7 +40,8 @@
     + pg.parameter_status("client_encoding", "UTF8")
     + pg.parameter_status("standard_conforming_strings", "on")
     + pg.frame(b"K", b"\0\0\0\0\0\0\0\0")  # nothing can be cancelled by key: clients close instead
-    + pg.READY)
+    + pg.READY
+)
 EMPTY = pg.frame(b"I", b"") + pg.READY
 
 
--- a/frostfall/protocol/statement.py
+++ b/frostfall/protocol/statement.py
@@ -7,9 +7,15 @@
 
 _TEXT = rb"'([^']*(?:''[^']*)*)'"
 _STATEMENT = re.compile(
-    rb"\s*(?:SELECT payload FROM entries WHERE ref = " + _TEXT
-    + rb"|INSERT INTO entries \(ref, payload\) VALUES \(" + _TEXT + rb", " + _TEXT + rb"\) RETURNING payload)"
-    + rb"\s*/\*([^*]*)\*/\s*;?\s*\Z")
+    rb"\s*(?:SELECT payload FROM entries WHERE ref = "
+    + _TEXT
+    + rb"|INSERT INTO entries \(ref, payload\) VALUES \("
+    + _TEXT
+    + rb", "
+    + _TEXT
+    + rb"\) RETURNING payload)"
+    + rb"\s*/\*([^*]*)\*/\s*;?\s*\Z"
+)
 _PAIR = re.compile(rb"\s*([A-Za-z_][\w.-]*)=([^\s,]*)\s*\Z")
 _ID = re.compile(rb"[0-9a-zA-Z_.:-]{1,64}\Z")
 _NUMBER = re.compile(rb"[0-9]{1,7}\Z")
@@ -67,10 +73,16 @@
     hint = found.get(b"h", (b"", 0))[0]
     key = match[1] if match[1] is not None else match[2]
     return Statement(
-        request=request.decode(), class_name=found[b"c"][0].decode("utf-8", "replace"),
-        key=key.decode("latin-1"), wait_ms=int(wait), is_retry=found.get(b"r", (b"", 0))[0] == b"1",
+        request=request.decode(),
+        class_name=found[b"c"][0].decode("utf-8", "replace"),
+        key=key.decode("latin-1"),
+        wait_ms=int(wait),
+        is_retry=found.get(b"r", (b"", 0))[0] == b"1",
         hint=int(hint) if _NUMBER.match(hint) else None,
-        _before=text[:at], _after=text[at + len(wait):], _comment=match[4])
+        _before=text[:at],
+        _after=text[at + len(wait) :],
+        _comment=match[4],
+    )
 
 
 def load_values(text: str) -> dict[str, float]:
--- a/frostfall/recovery/facts.py
+++ b/frostfall/recovery/facts.py
@@ -86,7 +86,8 @@
 
 Fact = Life | Seen | Doubt | GoneBack | Hold | Keeps | Voted | Ruled | Agreed | KnownList
 _DECODER = msgspec.msgpack.Decoder(
-    Life | Seen | Doubt | GoneBack | Hold | Keeps | Voted | Ruled | Agreed | KnownList)
+    Life | Seen | Doubt | GoneBack | Hold | Keeps | Voted | Ruled | Agreed | KnownList
+)
 
 
 def encode(fact: Fact) -> bytes:
--- a/frostfall/recovery/gates.py
+++ b/frostfall/recovery/gates.py
@@ -41,8 +41,13 @@
     Gate.READS_NEAR: (),
     Gate.READS: ((Gate.LIST, True),),
     Gate.KEYED: ((Gate.LIST, True), (Gate.GROUP, True)),
-    Gate.UNSAFE: ((Gate.DISK, False), (Gate.IDENTITY, False), (Gate.LIST, True), (Gate.GROUP, False),
-                  (Gate.SETTLED, False)),
+    Gate.UNSAFE: (
+        (Gate.DISK, False),
+        (Gate.IDENTITY, False),
+        (Gate.LIST, True),
+        (Gate.GROUP, False),
+        (Gate.SETTLED, False),
+    ),
     Gate.VOTES: ((Gate.LIST, True), (Gate.GROUP, True)),
 }
 
@@ -102,8 +107,9 @@
 
     def waited_for(self) -> tuple[Gate, str] | None:
         """The first gate that is not open, and why."""
-        return next(((gate, point.why) for gate, point in self.points.items()
-                     if point.stand is not Stand.OPEN), None)
+        return next(
+            ((gate, point.why) for gate, point in self.points.items() if point.stand is not Stand.OPEN), None
+        )
 
     def _set(self, gate: Gate, now: float, stand: Stand, why: str = "") -> None:
         point = self.points[gate]
@@ -116,8 +122,12 @@
         if broken:
             self._set(Gate.DISK, now, Stand.SHUT, broken)
         else:
-            self._set(Gate.DISK, now, Stand.OPEN if facts.read else Stand.WAITING,
-                      "" if facts.read else "the record is being read")
+            self._set(
+                Gate.DISK,
+                now,
+                Stand.OPEN if facts.read else Stand.WAITING,
+                "" if facts.read else "the record is being read",
+            )
         if facts.replaced:
             self._set(Gate.IDENTITY, now, Stand.SHUT, facts.replaced)
         elif facts.contested:
@@ -125,8 +135,12 @@
         elif facts.identity:
             self._set(Gate.IDENTITY, now, Stand.OPEN)
         else:
-            self._set(Gate.IDENTITY, now, Stand.SHUT if broken else Stand.WAITING,
-                      broken or "the own incarnation is on its way to the disk")
+            self._set(
+                Gate.IDENTITY,
+                now,
+                Stand.SHUT if broken else Stand.WAITING,
+                broken or "the own incarnation is on its way to the disk",
+            )
         if facts.list_told:
             self._set(Gate.LIST, now, Stand.OPEN)
         elif not self.open(Gate.LIST):
@@ -134,8 +148,12 @@
             self._set(Gate.LIST, now, Stand.LATE if late else Stand.WAITING, "discovery has told no list")
         self._group(now, facts)
         if facts.unsettled or not facts.read:
-            self._set(Gate.SETTLED, now, Stand.SHUT if broken else Stand.WAITING,
-                      f"{facts.unsettled} open operations" if facts.read else "the record is being read")
+            self._set(
+                Gate.SETTLED,
+                now,
+                Stand.SHUT if broken else Stand.WAITING,
+                f"{facts.unsettled} open operations" if facts.read else "the record is being read",
+            )
         else:
             self._set(Gate.SETTLED, now, Stand.OPEN)
 
@@ -152,9 +170,13 @@
             return
         self.majority_at = None
         late = now >= self.waits.group
-        self._set(Gate.GROUP, now, Stand.LATE if late else Stand.WAITING,
-                  f"{facts.acknowledging} of {self.members} have this life on disk, "
-                  f"{self.members // 2 + 1} are needed")
+        self._set(
+            Gate.GROUP,
+            now,
+            Stand.LATE if late else Stand.WAITING,
+            f"{facts.acknowledging} of {self.members} have this life on disk, "
+            f"{self.members // 2 + 1} are needed",
+        )
 
     def _service(self, gate: Gate, needs: tuple[tuple[Gate, bool], ...], now: float, facts: Facts) -> None:
         for step, late_will_do in needs:
--- a/frostfall/recovery/ledger.py
+++ b/frostfall/recovery/ledger.py
@@ -35,12 +35,12 @@
 
 def name_in(data: bytes) -> str:
     """The name in a record's payload."""
-    return data[2:2 + data[0]].decode("utf-8", "replace")
+    return data[2 : 2 + data[0]].decode("utf-8", "replace")
 
 
 def answer_in(data: bytes) -> bytes | None:
     """The answer in a record's payload; None where it was not kept."""
-    return None if data[1] & CUT else data[2 + data[0]:len(data) - (4 if data[1] & AGED else 0)]
+    return None if data[1] & CUT else data[2 + data[0] : len(data) - (4 if data[1] & AGED else 0)]
 
 
 def aged_in(data: bytes) -> int:
@@ -107,8 +107,9 @@
 class Ledger:
     """What one agent knows of operations."""
 
-    def __init__(self, journal: Journal, look: Look, marked: bool, answer_most: int = 4096,
-                 copied: bool = False) -> None:
+    def __init__(
+        self, journal: Journal, look: Look, marked: bool, answer_most: int = 4096, copied: bool = False
+    ) -> None:
         """`look` finds in the log; `marked`: clients mark all tries but an operation's first.
 
         `copied`: others keep copies of intents, and a write waits for them.
@@ -198,8 +199,7 @@
 
     def may_write(self, operation: Operation) -> bool:
         """Whether a server may be sent this now: its intent is on disk, and nobody else can have run it."""
-        return (operation.may_write and 0 < operation.ticket <= self.journal.durable
-                and not self.journal.fault)
+        return operation.may_write and 0 < operation.ticket <= self.journal.durable and not self.journal.fault
 
     def under_way(self, operation: Operation) -> bool:
         """Whether this is the one of its name, and has not ended."""
@@ -252,8 +252,9 @@
         if found or state is State.FENCED or name in self.lost:
             return 0
         # An open copy is of an earlier life, as what is under way now was passed by above.
-        return self.journal.append(Record(State.LOST if state is State.OPEN else State.FAILED, key,
-                                          payload(name, b"", aged)))
+        return self.journal.append(
+            Record(State.LOST if state is State.OPEN else State.FAILED, key, payload(name, b"", aged))
+        )
 
     def restored(self, name: str) -> None:
         """An operation that may have run has been taken back: it is lost for ever, as after a power loss."""
--- a/frostfall/recovery/rules.py
+++ b/frostfall/recovery/rules.py
@@ -110,12 +110,13 @@
         if not self.here:
             raise ValueError("members: all of them are gone")
         if self.copies and len(self.here) <= self.copies.acknowledged:
-            raise ValueError(f"copies: {self.copies.acknowledged} other members are to acknowledge, "
-                             f"and there are {len(self.here) - 1}")
+            raise ValueError(
+                f"copies: {self.copies.acknowledged} other members are to acknowledge, "
+                f"and there are {len(self.here) - 1}"
+            )
         if self.operation and not _FIELD.match(self.operation):
             raise ValueError(f"operation: {self.operation!r} is no name of a comment's field")
 
-
     @property
     def here(self) -> tuple[Member, ...]:
         """The members that are not gone for good."""
--- a/frostfall/storage/frames.py
+++ b/frostfall/storage/frames.py
@@ -81,8 +81,9 @@
 
 def opening(header: Header) -> bytes:
     """The first bytes of a segment."""
-    return (PREAMBLE.pack(MAGIC, FORMAT, 0)
-            + frame(Kind.HEADER, header.segment, msgspec.msgpack.encode(header)))
+    return PREAMBLE.pack(MAGIC, FORMAT, 0) + frame(
+        Kind.HEADER, header.segment, msgspec.msgpack.encode(header)
+    )
 
 
 def batch(number: int, records: list[Record]) -> tuple[bytes, list[int]]:
@@ -131,7 +132,7 @@
     end = at + FRAME.size + length
     if mark != MARK or length > PAYLOAD_MOST or end > len(data) or kind not in (1, 2, 3):
         return None
-    payload = data[at + FRAME.size:end]
+    payload = data[at + FRAME.size : end]
     if crc32c(payload, crc32c(_SUMMED.pack(kind, number))) != checksum:
         return None
     return Kind(kind), number, payload
@@ -139,7 +140,7 @@
 
 def _good_behind(data: memoryview, at: int) -> bool:
     """Whether a good frame stands anywhere behind this place."""
-    raw = bytes(data[at + 1:])
+    raw = bytes(data[at + 1 :])
     place = raw.find(MARK)
     while place >= 0:
         if _frame_at(data, at + 1 + place):
@@ -218,7 +219,7 @@
     unpack, size = shape.unpack_from, shape.size
     while at < len(payload):
         length, state, key, *old = unpack(payload, at)
-        yield state, key, old[0] if old else ANY, base + at, payload[at + size:at + size + length]
+        yield state, key, old[0] if old else ANY, base + at, payload[at + size : at + size + length]
         at += size + length
 
 
@@ -230,4 +231,4 @@
     length, state, key, *_ = shape.unpack_from(raw)
     if len(raw) < shape.size + length or state > State.FENCED:
         return None
-    return State(state), key, raw[shape.size:shape.size + length]
+    return State(state), key, raw[shape.size : shape.size + length]
--- a/frostfall/storage/index.py
+++ b/frostfall/storage/index.py
@@ -26,8 +26,11 @@
 
 def parts_of(place: int) -> tuple[int, int, State]:
     """Segment, offset and state of a place."""
-    return (place >> (_OFFSET + _STATE), (place >> _STATE) & ((1 << _OFFSET) - 1),
-            State(place & ((1 << _STATE) - 1)))
+    return (
+        place >> (_OFFSET + _STATE),
+        (place >> _STATE) & ((1 << _OFFSET) - 1),
+        State(place & ((1 << _STATE) - 1)),
+    )
 
 
 class Index:
--- a/frostfall/storage/journal.py
+++ b/frostfall/storage/journal.py
@@ -86,8 +86,9 @@
 
     # ---- the past ----------------------------------------------------------------------------------
 
-    def recover(self, numbers: Sequence[int], load: Callable[[int], bytes],
-                recall: Callable[[bytes], None]) -> None:
+    def recover(
+        self, numbers: Sequence[int], load: Callable[[int], bytes], recall: Callable[[bytes], None]
+    ) -> None:
         """Read the segments that there are, oldest first; `recall` is handed each fact. Sets `condition`.
 
         What cannot be used is not read any further; what was read before it is known all the same.
@@ -139,12 +140,18 @@
         if header.owner != self.owner:
             self.condition, self.why = Condition.FOREIGN, f"segment {number} belongs to {header.owner!r}"
             return
-        if header.segment != number or (self._segment and number != self._segment + 1) or (
-                self.store and header.store != self.store):
+        if (
+            header.segment != number
+            or (self._segment and number != self._segment + 1)
+            or (self.store and header.store != self.store)
+        ):
             self._bad(Condition.DAMAGED, f"segment {number} does not follow segment {self._segment}")
         elif self._segment and header.batch != self.batch + 1:
-            self._bad(Condition.DAMAGED, f"segment {number} begins with batch {header.batch}, "
-                                         f"segment {self._segment} ends with {self.batch}")
+            self._bad(
+                Condition.DAMAGED,
+                f"segment {number} begins with batch {header.batch}, "
+                f"segment {self._segment} ends with {self.batch}",
+            )
         elif self.condition is Condition.FRESH:
             self.condition = Condition.WHOLE
         if read.end is End.TORN:
@@ -205,8 +212,11 @@
 
     def spoilt(self, segment: int, offset: int) -> int:
         """What stands in a segment from here on cannot be read: it counts no more; how much that is."""
-        gone = [(key, place) for key, place in self.index.items()
-                if parts_of(place)[0] == segment and parts_of(place)[1] >= offset]
+        gone = [
+            (key, place)
+            for key, place in self.index.items()
+            if parts_of(place)[0] == segment and parts_of(place)[1] >= offset
+        ]
         for key, place in gone:
             self.index.drop(key, place)
         return len(gone)
@@ -254,16 +264,22 @@
 
     def _turns(self, elapsed: float) -> bool:
         """Whether the segment has become too large, or spans too much time to leave in time."""
-        return (self._size >= self.rules.segment_bytes or self._retired >= min(self._began, default=1)
-                or elapsed - self._began[self._segment] >= self.rules.keep / SPANS)
+        return (
+            self._size >= self.rules.segment_bytes
+            or self._retired >= min(self._began, default=1)
+            or elapsed - self._began[self._segment] >= self.rules.keep / SPANS
+        )
 
     def _turn(self, write: Write, elapsed: float) -> None:
         """Let this write begin a segment, and name those that are over by then."""
         number = self._segment + 1
         order = [*sorted(self._began), number]
         # A segment ends where the next one begins: then its youngest record was written.
-        over = [each for each, behind in pairwise(order)
-                if elapsed - self._began.get(behind, elapsed) >= self.rules.keep or each <= self._retired]
+        over = [
+            each
+            for each, behind in pairwise(order)
+            if elapsed - self._began.get(behind, elapsed) >= self.rules.keep or each <= self._retired
+        ]
         write.segment, write.begins, write.cut, write.remove = number, True, self._cut, [*self._stale, *over]
         left = [each for each in order if each not in over]
         header = Header(self.owner, number, left[0], self.batch + 1, elapsed, self.store)
@@ -281,8 +297,13 @@
             self._stale.clear()
         for record, offset in self._out:
             if record.state is not State.FACT:
-                _settle(self.index, record.state, record.key, record.old,
-                        place_of(write.segment, offset, record.state))
+                _settle(
+                    self.index,
+                    record.state,
+                    record.key,
+                    record.old,
+                    place_of(write.segment, offset, record.state),
+                )
         self._out = []
         self._size += len(write.data) + len(write.lax)
         self._sizes[self._segment] = self._size
--- a/frostfall/wirehost/messages.py
+++ b/frostfall/wirehost/messages.py
@@ -167,7 +167,16 @@
 
 
 AgentEvent = (
-    View | Req | Flowing | Ended | ClientGone | Reminder | Pong | NoteFrom | StepNews
-    | CountsByBuild | BadAnswer
+    View
+    | Req
+    | Flowing
+    | Ended
+    | ClientGone
+    | Reminder
+    | Pong
+    | NoteFrom
+    | StepNews
+    | CountsByBuild
+    | BadAnswer
 )
 Line = Clock | Commit | Roster | Enlist | Detach | AgentEvent
--- a/frostfall/zones/evidence.py
+++ b/frostfall/zones/evidence.py
@@ -137,6 +137,7 @@
 
 def _share(counts: Iterable[Counts]) -> float:
     """The middle pair's share of late answers."""
-    shares = sorted(each.late / (each.attempts - each.silent) for each in counts
-                    if each.attempts > each.silent)
+    shares = sorted(
+        each.late / (each.attempts - each.silent) for each in counts if each.attempts > each.silent
+    )
     return shares[len(shares) // 2] if shares else 0.0
--- a/frostfall/zones/plan.py
+++ b/frostfall/zones/plan.py
@@ -48,9 +48,17 @@
     def shares(self, zone: str) -> dict[str, float]:
         """What part of a zone's requests goes where; what is left of 1 is refused."""
         total = self.refused.get(zone, 0.0) + sum(
-            flow for (one, _), flow in self.flows.items() if one == zone)
-        return {other: flow / total for (one, other), flow in sorted(self.flows.items())
-                if one == zone and flow > TINY * max(total, 1.0)} if total else {}
+            flow for (one, _), flow in self.flows.items() if one == zone
+        )
+        return (
+            {
+                other: flow / total
+                for (one, other), flow in sorted(self.flows.items())
+                if one == zone and flow > TINY * max(total, 1.0)
+            }
+            if total
+            else {}
+        )
 
     def load(self, zone: str) -> float:
         """Requests a second that a zone gets."""
@@ -59,8 +67,9 @@
     def cost(self, zones: Sequence[Zone], prices: Prices) -> float:
         """What the plan costs a second: ways, and the worth of what is refused."""
         known = {zone.name: zone for zone in zones}
-        ways = sum(flow * price(known[one], known[other], prices)
-                   for (one, other), flow in self.flows.items())
+        ways = sum(
+            flow * price(known[one], known[other], prices) for (one, other), flow in self.flows.items()
+        )
         return ways + sum(flow * known[name].worth for name, flow in self.refused.items())
 
 
@@ -76,24 +85,46 @@
     from scipy.optimize import linprog
     from scipy.sparse import coo_array
 
-    ways = [(row, column) for row, one in enumerate(zones) for column, other in enumerate(zones)
-            if one.demand > 0 and other.room > 0]
+    ways = [
+        (row, column)
+        for row, one in enumerate(zones)
+        for column, other in enumerate(zones)
+        if one.demand > 0 and other.room > 0
+    ]
     costs = [price(zones[row], zones[column], prices) for row, column in ways]
     costs += [zone.worth for zone in zones]
     numbers = range(len(ways))
-    equal = coo_array(([1.0] * (len(ways) + len(zones)),
-                       ([row for row, _ in ways] + list(range(len(zones))), range(len(ways) + len(zones)))),
-                      shape=(len(zones), len(ways) + len(zones)))
-    most = coo_array(([1.0] * len(ways), ([column for _, column in ways], numbers)),
-                     shape=(len(zones), len(ways) + len(zones)))
-    found = linprog(costs, A_ub=most, b_ub=[zone.room for zone in zones], A_eq=equal,
-                    b_eq=[zone.demand for zone in zones], method="highs")
+    equal = coo_array(
+        (
+            [1.0] * (len(ways) + len(zones)),
+            ([row for row, _ in ways] + list(range(len(zones))), range(len(ways) + len(zones))),
+        ),
+        shape=(len(zones), len(ways) + len(zones)),
+    )
+    most = coo_array(
+        ([1.0] * len(ways), ([column for _, column in ways], numbers)),
+        shape=(len(zones), len(ways) + len(zones)),
+    )
+    found = linprog(
+        costs,
+        A_ub=most,
+        b_ub=[zone.room for zone in zones],
+        A_eq=equal,
+        b_eq=[zone.demand for zone in zones],
+        method="highs",
+    )
     if not found.success:
         raise RuntimeError(f"no plan: {found.message}")
-    flows = {(zones[row].name, zones[column].name): float(found.x[number])
-             for number, (row, column) in enumerate(ways) if found.x[number] > TINY}
-    refused = {zone.name: float(found.x[len(ways) + row]) for row, zone in enumerate(zones)
-               if found.x[len(ways) + row] > TINY}
+    flows = {
+        (zones[row].name, zones[column].name): float(found.x[number])
+        for number, (row, column) in enumerate(ways)
+        if found.x[number] > TINY
+    }
+    refused = {
+        zone.name: float(found.x[len(ways) + row])
+        for row, zone in enumerate(zones)
+        if found.x[len(ways) + row] > TINY
+    }
     return Plan(flows, refused)
 
 
@@ -117,8 +148,13 @@
     """Own zones first, then what is over is poured evenly over the room that is left, own regions first."""
     left = {zone.name: zone.room - min(zone.room, zone.demand) for zone in zones}
     over = {zone.name: zone.demand - min(zone.room, zone.demand) for zone in zones}
-    plan = Plan({(zone.name, zone.name): min(zone.room, zone.demand) for zone in zones
-                 if min(zone.room, zone.demand) > TINY})
+    plan = Plan(
+        {
+            (zone.name, zone.name): min(zone.room, zone.demand)
+            for zone in zones
+            if min(zone.room, zone.demand) > TINY
+        }
+    )
     for inside in (True, False):
         for region in sorted({zone.region for zone in zones}):
             givers = [zone for zone in zones if zone.region == region and over[zone.name] > TINY]
@@ -155,8 +191,10 @@
             part = min(part, step * zone.room / growth)
     keys = {*start.flows, *new.flows}
     flows = {key: (1 - part) * start.flows.get(key, 0.0) + part * new.flows.get(key, 0.0) for key in keys}
-    sent: Mapping[str, float] = {zone.name: sum(flow for (one, _), flow in flows.items() if one == zone.name)
-                                 for zone in zones}
-    refused = {zone.name: zone.demand - sent[zone.name] for zone in zones
-               if zone.demand - sent[zone.name] > TINY}
+    sent: Mapping[str, float] = {
+        zone.name: sum(flow for (one, _), flow in flows.items() if one == zone.name) for zone in zones
+    }
+    refused = {
+        zone.name: zone.demand - sent[zone.name] for zone in zones if zone.demand - sent[zone.name] > TINY
+    }
     return Plan({key: flow for key, flow in flows.items() if flow > TINY}, refused)
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -10,7 +10,7 @@
     for size in (1, 7, 4096, len(data)):
         buffer, out = Buffer(len(data)), b""
         for start in range(0, len(data), size):
-            assert buffer.feed(data[start:start + size])
+            assert buffer.feed(data[start : start + size])
             out += buffer.take(min(3, len(buffer)))
         assert out + buffer.take(len(buffer)) == data
         assert len(buffer) == 0
