--- a/Makefile
+++ b/Makefile
@@ -19,6 +19,7 @@
 	PATH="$(CURDIR)/$(VENV)/bin:$$PATH" bash tests/run
 
 lint: build
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 
