--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -57,7 +57,7 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     platform: Address | None
-    news: api.RolloutNews | None
+    news: api.RolloutState | None
     known: Listing
     settings: api.Settings
     log_level: str
@@ -113,13 +113,13 @@
     if not settings.classes:
         raise ConfigError("settings.grades: there are none")
     for kind in settings.classes:
-        if not 0 < kind.aim <= kind.deadline:
+        if not 0 < kind.latency_objective <= kind.deadline:
             raise ConfigError(f"settings.grades: aimUs or deadlineUs of {kind.name!r} is out of range")
     if settings.limits.max_attempts < 1:
         raise ConfigError("settings.bounds.maxAttempts: at least 1 is needed")
     for key, value in (
         ("connectTimeoutUs", settings.limits.connect_timeout),
-        ("connIdleUs", settings.limits.connection_idle),
+        ("connIdleUs", settings.limits.connection_idle_timeout),
     ):
         if value <= 0:
             raise ConfigError(f"settings.bounds.{key}: {value} is out of range")
@@ -186,7 +186,7 @@
     peers = tuple(address(text, f"peers[{place}]") for place, text in enumerate(raw.peers))
     if peers and len(peers) != settings.agents:
         raise ConfigError(f"peers: {len(peers)} addresses for settings.nInstances {settings.agents}")
-    told: api.RolloutNews | None = None
+    told: api.RolloutState | None = None
     if raw.release_api and raw.release_api.news is not None:
         state = news.read(raw.release_api.news, api.VoteReply.NONE)
         if isinstance(state, str):
--- a/frostfall/interface.py
+++ b/frostfall/interface.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-Micros = int
+Microseconds = int
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a request may do."""
 
-    SAFE = auto()
+    IDEMPOTENT = auto()
     KEYED = auto()  # repeats are dropped inside a group of servers, for a while
-    UNSAFE = auto()
+    NON_IDEMPOTENT = auto()
 
 
-class KeyGroup(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop each other's repeats of a keyed request."""
 
     ALL = auto()
@@ -29,7 +29,7 @@
     CELL = auto()
 
 
-class Control(Enum):
+class RolloutControl(Enum):
     """What moves a build from stage to stage."""
 
     VOTES = auto()  # one vote, or a stated number of them
@@ -44,12 +44,12 @@
     REMOVED = auto()
 
 
-class ListKind(Enum):
+class ServerListKind(Enum):
     """How a piece of the server list relates to what is already known."""
 
-    REMEMBERED = auto()  # complete, possibly out of date
+    CACHED = auto()  # complete, possibly out of date
     COMPLETE = auto()
-    CHANGES = auto()
+    DELTA = auto()
     FAILED = auto()  # a call failed or the subscription broke
 
 
@@ -71,13 +71,13 @@
         return self in (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
 
 
-class Phase(Enum):
+class RolloutPhase(Enum):
     """Where the newest build stands."""
 
     TRIAL = auto()
-    GOING_BACK = auto()
+    ROLLING_BACK = auto()
     RELEASED = auto()
-    WITHDRAWN = auto()
+    ROLLED_BACK = auto()
 
 
 class VoteReply(Enum):
@@ -108,16 +108,40 @@
     """A class of requests and what its clients expect."""
 
     name: str
-    effect: Effect
-    key_group: KeyGroup
-    key_ttl: Micros
-    aim: Micros
-    deadline: Micros
-    worth: float
-    late_worth: float = 0.0
-    aim_stretch: float = 0.0
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window: Microseconds
+    latency_objective: Microseconds
+    deadline: Microseconds
+    priority_weight: float
+    late_priority_weight: float = 0.0
+    latency_objective_stretch: float = 0.0
     stream: bool = False
 
+    @property
+    def idempotent(self) -> bool:
+        """Whether a repeat is harmless at any server and time."""
+        return self.idempotency is Idempotency.IDEMPOTENT
+
+    @property
+    def retryable(self) -> bool:
+        """Whether some repeat may be harmless: the class is idempotent, or has idempotency keys."""
+        return self.idempotency is not Idempotency.NON_IDEMPOTENT
+
+    def deduplicates_between(self, first: Server, second: Server) -> bool:
+        """Whether two servers drop each other's repeats of a keyed request of this class."""
+        if self.deduplication_scope is DeduplicationScope.ALL:
+            return True
+        if self.deduplication_scope is DeduplicationScope.ZONE:
+            return first.zone == second.zone
+        return first.cell == second.cell
+
+    @property
+    def repeatable_anywhere(self) -> bool:
+        """Whether a client's repeat is harmless, whichever server gets it."""
+        everywhere = self.deduplication_scope is DeduplicationScope.ALL
+        return self.idempotent or (self.idempotency is Idempotency.KEYED and everywhere)
+
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
@@ -129,33 +153,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rollout:
+class RolloutSettings:
     """How builds are offered, moved on and judged."""
 
-    control: Control
+    control: RolloutControl
     stage_caps: tuple[float, ...]
     stage_shares: tuple[float, ...]
-    window: Micros
-    free_attempts: float
-    per_class: bool
-    closed_stages: int
-    one_way: bool
+    exposure_window: Microseconds
+    uncounted_attempts: float
+    exposure_per_class: bool
+    idempotent_only_stages: int
+    forward_only_keys: bool
     keeps_old_servers: bool
-    least_stage_time: Micros
-    stage_time: Micros
-    on_votes: int
-    back_votes: int
+    min_stage_duration: Microseconds
+    stage_duration: Microseconds
+    advance_votes: int
+    rollback_votes: int
     hold_votes: int
-    vote_life: Micros
-    vote_timeout: Micros
+    vote_lifetime: Microseconds
+    vote_timeout: Microseconds
     votes_per_second: float
-    news_period: Micros
-    tally_period: Micros
-    tally_sample: float
-    flag_share: float
+    state_period: Microseconds
+    tally_period: Microseconds
+    tally_sample_rate: float
+    dispute_report_share: float
     delay_price: float
     harm_price: float
-    warm_keys: bool
+    key_affinity: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,25 +189,25 @@
     max_attempts: int
     parallel_attempts: bool
     may_cancel: bool
-    probes: bool
-    peers: bool
+    health_checks: bool
+    gossip: bool
     retry_after: bool
-    max_retry_after: Micros
-    connect_timeout: Micros
-    connection_idle: Micros  # after so long without use a connection is closed
+    max_retry_after: Microseconds
+    connect_timeout: Microseconds
+    connection_idle_timeout: Microseconds  # after so long without use a connection is closed
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
     """The numbers of the rules."""
 
-    answer_slack: Micros
-    drain_grace: Micros
-    ask_within: Micros
-    cold_share: float
-    warm_up: Micros
-    fall_multiple: float
-    fall_window: Micros
+    answer_slack: Microseconds
+    drain_grace: Microseconds
+    watch_renewal_period: Microseconds
+    warm_up_initial_share: float
+    warm_up_duration: Microseconds
+    overload_multiple: float
+    overload_window: Microseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -192,8 +216,8 @@
 
     cross_zone: float
     waste: float
-    probe: float
-    peer: float
+    health_check: float
+    gossip: float
     late_fail: float
 
 
@@ -206,27 +230,27 @@
     zone: str
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
-    rollout: Rollout | None
+    rollout: RolloutSettings | None
     limits: Limits
     rules: Rules
     prices: Prices
-    must_subscribe: bool
-    load_by_probe: bool
-    over_share_worth: float
+    needs_watch: bool
+    load_by_health_check: bool
+    over_quota_priority_weight: float
 
 
 # ---- events ------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadReport:
     """What a server says of its load; None where it does not say."""
 
-    held: float | None = None  # requests it holds
+    in_flight: float | None = None  # requests it holds
     queued: float | None = None  # requests that wait
     cpu: float | None = None  # share of its cores in use
-    service_ms: float | None = None  # recent service time without waiting
-    served_per_s: float | None = None
+    service_time_ms: float | None = None  # recent service time without waiting
+    served_per_second: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -238,15 +262,15 @@
     zone: str
     cell: int
     size: float
-    started_at: Micros  # 0: long ago
+    started_at: Microseconds  # 0: long ago
     availability: Availability
 
 
 @dataclass(frozen=True, slots=True)
-class ServersListed:
+class ServerListUpdated:
     """News of the server list."""
 
-    kind: ListKind
+    kind: ServerListKind
     servers: tuple[Server, ...]
 
 
@@ -256,9 +280,9 @@
 
     request: str
     class_name: str
-    deadline: Micros  # clock time at which this try is given up
+    deadline: Microseconds  # clock time at which this try is given up
     key: str | None = None
-    hint: Micros | None = None
+    service_time_hint: Microseconds | None = None
     tenant: str | None = None
     is_retry: bool = False
 
@@ -279,13 +303,13 @@
     attempt: int
     server: int
     outcome: Outcome
-    elapsed: Micros
+    elapsed: Microseconds
     final: bool
-    load: Load | None = None
+    load: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client has gone; no answer is owed any more."""
 
     request: str
@@ -299,17 +323,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """The result of a probe."""
 
     server: int
     outcome: Outcome
-    elapsed: Micros
-    load: Load | None = None
+    elapsed: Microseconds
+    load: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class GossipReceived:
     """A message of another agent; it may be anything."""
 
     sender: int
@@ -317,14 +341,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutNews:
+class RolloutState:
     """Where the newest build stands, as it was a little while ago."""
 
     build: int
     stage: int
-    phase: Phase
+    phase: RolloutPhase
     cap: float
-    age: Micros
+    age: Microseconds
     reply: VoteReply
 
 
@@ -336,8 +360,8 @@
     class_name: str
     attempts: int
     failed: int
-    mean_elapsed: Micros
-    age: Micros
+    mean_elapsed: Microseconds
+    age: Microseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -346,29 +370,29 @@
 
     server: int
     class_name: str
-    age: Micros  # since the attempt was sent
+    age: Microseconds  # since the attempt was sent
 
 
 @dataclass(frozen=True, slots=True)
-class ServerSlowed:
+class ServerDegraded:
     """A server takes or gives bytes too slowly in the middle of an exchange, whose end is yet to come."""
 
     server: int
 
 
 Event = (
-    ServersListed
+    ServerListUpdated
     | RequestArrived
     | StreamStarted
     | AttemptEnded
-    | ClientLeft
+    | ClientDisconnected
     | TimerFired
-    | ProbeEnded
-    | PeerMessage
-    | RolloutNews
+    | HealthCheckEnded
+    | GossipReceived
+    | RolloutState
     | BuildTally
     | AnswerDisputed
-    | ServerSlowed
+    | ServerDegraded
 )
 
 # ---- actions -----------------------------------------------------------------------------------
@@ -380,7 +404,7 @@
 
     request: str
     server: int
-    timeout: Micros = 0  # 0: until the client gives up
+    timeout: Microseconds = 0  # 0: until the client gives up
 
 
 @dataclass(frozen=True, slots=True)
@@ -392,15 +416,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: not served, and trying again is harmless."""
 
     request: str
-    retry_after: Micros = 0
+    retry_after: Microseconds = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: not served, and nothing is promised."""
 
     request: str
@@ -410,19 +434,19 @@
 class SetTimer:
     """Ask for a TimerFired."""
 
-    delay: Micros
+    delay: Microseconds
     token: str
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeServer:
+class CheckServerHealth:
     """Check a server."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendGossip:
     """Send at most 256 bytes to another agent."""
 
     peer: int
@@ -430,7 +454,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
+class WatchServerList:
     """Ask for the changes of the server list from now on."""
 
 
@@ -444,7 +468,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class WriteLog:
     """A line for the operators."""
 
     text: str
@@ -453,12 +477,12 @@
 Action = (
     SendAttempt
     | CancelAttempt
-    | Refuse
-    | Fail
+    | RejectRequest
+    | FailRequest
     | SetTimer
-    | ProbeServer
-    | TellPeer
-    | Subscribe
+    | CheckServerHealth
+    | SendGossip
+    | WatchServerList
     | CastVote
-    | Log
+    | WriteLog
 )
--- a/frostfall/model/fleet.py
+++ b/frostfall/model/fleet.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 
 from frostfall import interface as api
-from frostfall.brain import Brain
 from frostfall.model.servers import Server
+from frostfall.policy.engine import PolicyEngine
 
 Micros = int
 SECOND: Micros = 1_000_000
@@ -64,7 +64,7 @@
         self.now, self.way, self.random = START, way, random.Random(seed)
         self.settings, self.ledger = settings, Ledger()
         self.servers = {server.info.id: server for server in servers}
-        self.news = api.RolloutNews(1, 0, api.Phase.RELEASED, 1.0, 0, api.VoteReply.NONE)
+        self.news = api.RolloutState(1, 0, api.RolloutPhase.RELEASED, 1.0, 0, api.VoteReply.NONE)
         self.cut: Callable[[int, int], bool] = lambda sender, receiver: False  # whether a message is lost
         self.discovery_up = True
         self._heap: list[tuple[Micros, int, Callable[[], None]]] = []
@@ -72,7 +72,7 @@
         self._taken: dict[str, _Taken] = {}
         self._count = 0
         self._life = defaultdict[int, int](int)  # by agent: how often it has started
-        self.agents: list[Brain] = []
+        self.agents: list[PolicyEngine] = []
         for number in range(settings.agents):
             self.agents.append(self._brain(number))
             self._start(number)
@@ -94,13 +94,13 @@
 
     # ---- agents ------------------------------------------------------------------------------------
 
-    def _brain(self, number: int) -> Brain:
-        return Brain(replace(self.settings, agent=number), self.random.getrandbits(64))
+    def _brain(self, number: int) -> PolicyEngine:
+        return PolicyEngine(replace(self.settings, agent=number), self.random.getrandbits(64))
 
     def _start(self, number: int) -> None:
         brain, life = self.agents[number], self._life[number]
         self._carry_out(number, life, brain.start(self.now))
-        self.tell(number, api.ServersListed(api.ListKind.REMEMBERED, self.listing()))
+        self.tell(number, api.ServerListUpdated(api.ServerListKind.CACHED, self.listing()))
         self.tell(number, self.news)
 
     def restart(self, numbers: Iterable[int]) -> None:
@@ -127,9 +127,9 @@
 
     def relist(self) -> None:
         """Discovery tells all agents the whole list, as it is now."""
-        self.tell_all(api.ServersListed(api.ListKind.COMPLETE, self.listing()))
+        self.tell_all(api.ServerListUpdated(api.ServerListKind.COMPLETE, self.listing()))
 
-    def release(self, news: api.RolloutNews) -> None:
+    def release(self, news: api.RolloutState) -> None:
         """The platform tells all agents."""
         self.news = news
         self.tell_all(news)
@@ -149,15 +149,15 @@
         match action:
             case api.SetTimer(delay, token):
                 self._later(number, life, delay, api.TimerFired(token))
-            case api.TellPeer(peer, text):
+            case api.SendGossip(peer, text):
                 self.ledger.messages += 1
                 if peer < len(self.agents) and not self.cut(number, peer):
-                    self._later(peer, self._life[peer], self.way, api.PeerMessage(number, text))
-            case api.Subscribe():
+                    self._later(peer, self._life[peer], self.way, api.GossipReceived(number, text))
+            case api.WatchServerList():
                 self.ledger.list_calls.append((self.now, number))
-                kind = api.ListKind.COMPLETE if self.discovery_up else api.ListKind.FAILED
+                kind = api.ServerListKind.COMPLETE if self.discovery_up else api.ServerListKind.FAILED
                 listing = self.listing() if self.discovery_up else ()
-                self._later(number, life, 2 * self.way, api.ServersListed(kind, listing))
+                self._later(number, life, 2 * self.way, api.ServerListUpdated(kind, listing))
             case api.CastVote():
                 self.ledger.votes.append((self.now, number, action))
                 self._later(number, life, 2 * self.way, replace(self.news, reply=api.VoteReply.COUNTED))
@@ -169,9 +169,9 @@
                     gone = taken.out.pop(attempt)
                     ended = api.AttemptEnded(request, attempt, gone, api.Outcome.CANCELLED, 0, False)
                     self._later(number, life, 0, ended)
-            case api.Refuse(request):
+            case api.RejectRequest(request):
                 self._answer(request, "refused")
-            case api.Fail(request):
+            case api.FailRequest(request):
                 self._answer(request, "failed")
 
     # ---- requests ----------------------------------------------------------------------------------
@@ -231,7 +231,7 @@
             elif outcome is api.Outcome.ERROR:
                 self.ledger.errors.append((self.now, number, name))
             final, took = outcome is api.Outcome.SUCCESS, self.now - began
-            load = api.Load(held=float(server.held(self.now))) if server and final else None
+            load = api.LoadReport(in_flight=float(server.held(self.now))) if server and final else None
             self.tell(number, api.AttemptEnded(request, attempt, name, outcome, took, final, load))
 
         self.at(when, end)
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -16,7 +16,6 @@
 
 from frostfall import interface as api
 from frostfall import log
-from frostfall.brain import Brain
 from frostfall.config import Address, Config, ConfigError, address
 from frostfall.limits.guard import Guard
 from frostfall.net.appliances import Appliances, Attempt
@@ -27,6 +26,7 @@
 from frostfall.net.platform import Platform
 from frostfall.net.streams import Sockets
 from frostfall.net.watchdog import Watchdog
+from frostfall.policy.engine import PolicyEngine
 from frostfall.protocol import entries, statement
 from frostfall.protocol.ending import Ending, Final, Progress
 from frostfall.protocol.listing import Listing
@@ -67,7 +67,7 @@
         """Prepare an agent; nothing is opened before `run`."""
         self._config = config
         self.clock = clock or Clock()
-        self.brain = Brain(config.settings, config.seed)
+        self.engine = PolicyEngine(config.settings, config.seed)
         self._timers = Timers(self.clock)
         self._events: deque[api.Event] = deque()
         self._handling = False
@@ -79,7 +79,7 @@
         sockets = Sockets(config.limits.sockets - SPARE_SOCKETS)
         self._guard: Guard[Client] = Guard(config.options.slow_peers)
         self._watchdog = Watchdog()
-        self.brain.ejections.pauses = self._guard.rules.servers.apart
+        self.engine.ejections.pauses = self._guard.rules.servers.apart
         self._appliances = Appliances(
             self.clock, config.settings.limits, sockets, self._guard, self._watchdog
         )
@@ -99,10 +99,10 @@
         self._discovery = Discovery(
             config.discovery,
             config.known.generation,
-            config.settings.rules.ask_within,
+            config.settings.rules.watch_renewal_period,
             self._listed,
             self._list_failed,
-            unasked=not config.settings.must_subscribe,
+            unasked=not config.settings.needs_watch,
         )
         rollout = config.settings.rollout
         self._platform = (
@@ -112,7 +112,7 @@
         )
         self._peers = (
             Peers(config.peer_listen, config.peers, config.peers_all, self._heard)
-            if config.peer_listen and config.settings.limits.peers
+            if config.peer_listen and config.settings.limits.gossip
             else None
         )
         self._stopping = anyio.Event()
@@ -138,7 +138,7 @@
 
     def _handle(self, event: api.Event) -> None:
         try:
-            actions = self.brain.handle(self.clock.now(), event)
+            actions = self.engine.handle(self.clock.now(), event)
         except Exception:
             # Danger: a fault must not leave a request without its answer, nor end the agent.
             _log.exception("decision failed", event_type=type(event).__name__)
@@ -146,7 +146,7 @@
             if isinstance(name, str) and name in self._requests:
                 self._finish(name, failed(), Final.FAILED)
             # Danger: a timer let go by a fault would never come again, and with it all exchanges and votes.
-            actions = [action for action in self.brain.actions if isinstance(action, api.SetTimer)]
+            actions = [action for action in self.engine.actions if isinstance(action, api.SetTimer)]
         for action in actions:
             try:
                 self._carry_out(action)
@@ -160,25 +160,25 @@
             case api.CancelAttempt(request, attempt):
                 if (known := self._requests.get(request)) and attempt < len(known.attempts):
                     known.attempts[attempt].give_up()
-            case api.Refuse(request, retry_after):
+            case api.RejectRequest(request, retry_after):
                 self._finish(request, refused(retry_after // 1000), Final.REFUSED)
-            case api.Fail(request):
+            case api.FailRequest(request):
                 self._finish(request, failed(), Final.FAILED)
             case api.SetTimer(delay, token):
                 self._timers.set(delay, token)
-            case api.TellPeer(peer, text):
+            case api.SendGossip(peer, text):
                 if self._peers:
                     self._peers.tell(peer, text)
-            case api.Subscribe():
+            case api.WatchServerList():
                 self._discovery.ask()
             case api.CastVote():
                 if self._platform:
                     self._platform.cast(action)
-            case api.Log(text):
+            case api.WriteLog(text):
                 _log.info(text)
-            case api.ProbeServer(server):
+            case api.CheckServerHealth(server):
                 # The protocol has no probes, so that one never goes out.
-                self.post(api.ProbeEnded(server, api.Outcome.NEVER_SENT, 0))
+                self.post(api.HealthCheckEnded(server, api.Outcome.NEVER_SENT, 0))
 
     # ---- requests ----------------------------------------------------------------------------------
 
@@ -210,14 +210,14 @@
         name, client.request = client.request, None
         if name is not None and (request := self._requests.get(name)):
             request.done = True
-            self.post(api.ClientLeft(name))
+            self.post(api.ClientDisconnected(name))
             self._forget(name)
 
     def conclude(self, request: str, answer: bytes, end: Final) -> None:
         """Give a request its final answer, whatever the module has under way for it."""
         if (known := self._requests.get(request)) and not known.done:
             self._finish(request, answer, end)
-            self.post(api.ClientLeft(request))
+            self.post(api.ClientDisconnected(request))
 
     def _finish(self, name: str, answer: bytes, end: Final) -> None:
         request = self._requests.get(name)
@@ -246,7 +246,7 @@
         number = len(request.attempts)
 
         def slowed() -> None:  # told before the attempt's end, so that no further one goes there
-            self.post(api.ServerSlowed(action.server))
+            self.post(api.ServerDegraded(action.server))
 
         attempt = Attempt(request.statement.class_name, slowed)
         deadline = min(began + action.timeout, request.deadline) if action.timeout else request.deadline
@@ -265,7 +265,7 @@
             if (
                 request.done
                 or self._addresses.get(action.server) != target
-                or not (self.brain.may_write(now, action.request, number))
+                or not (self.engine.may_write(now, action.request, number))
             ):
                 return None
             return request.statement.waiting((deadline - now) // 1000)
@@ -333,20 +333,20 @@
 
     # ---- what the other drivers tell ---------------------------------------------------------------
 
-    def _told_news(self, event: api.RolloutNews) -> None:
+    def _told_news(self, event: api.RolloutState) -> None:
         (self._recovery.news if self._recovery else self.post)(event)
 
     def _remembered(self, listing: Listing) -> None:
         if not self._told_list:
-            self._keep(listing, api.ListKind.REMEMBERED)
+            self._keep(listing, api.ServerListKind.CACHED)
 
     def _listed(self, listing: Listing) -> None:
         self._told_list = True
-        self._keep(listing, api.ListKind.COMPLETE if listing.reset else api.ListKind.CHANGES)
+        self._keep(listing, api.ServerListKind.COMPLETE if listing.reset else api.ServerListKind.DELTA)
 
-    def _keep(self, listing: Listing, kind: api.ListKind) -> None:
+    def _keep(self, listing: Listing, kind: api.ServerListKind) -> None:
         event = entries.listed(listing, kind)
-        if kind is not api.ListKind.CHANGES:
+        if kind is not api.ServerListKind.DELTA:
             self._addresses.clear()
         for entry, server in zip(listing.instances, event.servers):
             self._addresses.pop(server.id, None)
@@ -357,14 +357,14 @@
                     _log.warning("unusable address", why=str(error))
         self._appliances.keep_only(set(self._addresses.values()))
         if self._recovery:
-            self._recovery.listed(listing, kind is api.ListKind.REMEMBERED)
+            self._recovery.listed(listing, kind is api.ServerListKind.CACHED)
         self.post(event)
 
     def _list_failed(self) -> None:
-        self.post(api.ServersListed(api.ListKind.FAILED, ()))
+        self.post(api.ServerListUpdated(api.ServerListKind.FAILED, ()))
 
     def _heard(self, sender: int, text: str) -> None:
-        self.post(api.PeerMessage(sender, text))
+        self.post(api.GossipReceived(sender, text))
 
     # ---- life --------------------------------------------------------------------------------------
 
@@ -396,7 +396,7 @@
             told = replace(told, options=msgspec.structs.replace(told.options, group=old.options.group))
         if told.options != old.options:
             self._guard.renew(told.options.slow_peers)
-            self.brain.ejections.pauses = self._guard.rules.servers.apart
+            self.engine.ejections.pauses = self._guard.rules.servers.apart
             self._clients.look_at_all()
             moved.append("slow_peers")
         self._config = replace(old, discovery=told.discovery, platform=told.platform, options=told.options)
@@ -412,10 +412,10 @@
         listener = listen(self._config.listen)
         async with anyio.create_task_group() as group:
             self._group = group
-            for action in self.brain.start(self.clock.now()):
+            for action in self.engine.start(self.clock.now()):
                 self._carry_out(action)
             known = self._config.known
-            self._keep(self._recovery.near(known) if self._recovery else known, api.ListKind.REMEMBERED)
+            self._keep(self._recovery.near(known) if self._recovery else known, api.ServerListKind.CACHED)
             if self._recovery:
                 if self._config.news:
                     self._recovery.at_start(self._config.news)
--- a/frostfall/net/appliances.py
+++ b/frostfall/net/appliances.py
@@ -111,7 +111,7 @@
         self._watchdog = Watchdog() if watchdog is None else watchdog
         self._clock = clock
         self._connect_timeout = limits.connect_timeout / 1e6
-        self._idle_most = int(limits.connection_idle * IDLE_PART)
+        self._idle_most = int(limits.connection_idle_timeout * IDLE_PART)
         self._sockets = sockets
         self._count = 0
         self._idle: defaultdict[Address, list[Connection]] = defaultdict(list)
--- a/frostfall/net/operations.py
+++ b/frostfall/net/operations.py
@@ -90,7 +90,7 @@
         self,
         name: str,
         rules: Group,
-        effects: dict[str, api.Effect],
+        effects: dict[str, api.Idempotency],
         front: Front,
         clock: Callable[[], int],
         steady: Callable[[], float],
@@ -122,8 +122,8 @@
     def take(self, statement: Statement, client: Waiting, deadline: int) -> bool:
         """A client's query; whether all is done for it, or will be, without the decision module."""
         effect = self._effects[statement.class_name]
-        if effect is not api.Effect.UNSAFE:
-            gate = Gate.READS_NEAR if effect is api.Effect.SAFE else Gate.KEYED
+        if effect is not api.Idempotency.NON_IDEMPOTENT:
+            gate = Gate.READS_NEAR if effect is api.Idempotency.IDEMPOTENT else Gate.KEYED
             if self.gates.open(gate):
                 return False
             client.answer(self._come_again())
@@ -179,7 +179,7 @@
 
     def knows(self, statement: Statement) -> bool:
         """Whether this asks again for an operation that is known here."""
-        if self._effects[statement.class_name] is not api.Effect.UNSAFE or not self.facts.read:
+        if self._effects[statement.class_name] is not api.Idempotency.NON_IDEMPOTENT or not self.facts.read:
             return False
         try:
             return self.ledger.known(self._name_of(statement)) is not None
--- a/frostfall/net/platform.py
+++ b/frostfall/net/platform.py
@@ -10,7 +10,7 @@
 
 from frostfall import log
 from frostfall.config import Address
-from frostfall.interface import CastVote, RolloutNews, VoteReply
+from frostfall.interface import CastVote, RolloutState, VoteReply
 from frostfall.net.streams import ENDED, BackOff, Stream, connected
 from frostfall.protocol import news, rpc
 
@@ -33,7 +33,7 @@
 class Platform:
     """Keeps one listening connection up; its news and the answers to votes are told as they come."""
 
-    def __init__(self, address: Address, vote_timeout: int, told: Callable[[RolloutNews], None]) -> None:
+    def __init__(self, address: Address, vote_timeout: int, told: Callable[[RolloutState], None]) -> None:
         """Talk to the platform at this address."""
         self._address = address
         self._vote_timeout = vote_timeout / 1e6
@@ -131,7 +131,7 @@
                 self._settle(number, vote, news.without_state(vote.action, news.reply_to_error(text)))
         return None
 
-    def _settle(self, number: int, vote: _Vote, answer: RolloutNews) -> None:
+    def _settle(self, number: int, vote: _Vote, answer: RolloutState) -> None:
         """Tell what became of a vote, in the order in which it was told here."""
         # Answers come in order: what has timed out and was asked before this gets none any more.
         self._sent = {
@@ -144,7 +144,7 @@
         elif answer.reply is VoteReply.NONE:
             self._told(answer)
 
-    def _end(self, vote: _Vote, answer: RolloutNews) -> None:
+    def _end(self, vote: _Vote, answer: RolloutState) -> None:
         vote.over = True
         vote.done.set()
         action = vote.action
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -135,10 +135,10 @@
         self._last = Life()  # one's own last life, as the folder says
         self._gone_back = 0
         self._list: KnownList | None = None
-        self._news: api.RolloutNews | None = None
+        self._news: api.RolloutState | None = None
         self._changed = anyio.Event()
         self._began = self._steady()
-        effects = {kind.name: kind.effect for kind in config.settings.classes}
+        effects = {kind.name: kind.idempotency for kind in config.settings.classes}
         self.operations = Operations(
             config.name,
             rules,
@@ -158,7 +158,7 @@
             self._unreadable,
             self._whole_of,
         )
-        window = config.settings.rollout.window if config.settings.rollout else 0
+        window = config.settings.rollout.exposure_window if config.settings.rollout else 0
         self._window = window / 1e6
         self._relist: Callable[[Listing], None] = lambda listing: None
         self._remembered = config.known  # the newest list that discovery has not confirmed
@@ -757,15 +757,15 @@
     def _whole(self) -> Listing:
         return Listing(self._generation, True, list(self._entries.values()))
 
-    def news(self, event: api.RolloutNews) -> None:
+    def news(self, event: api.RolloutState) -> None:
         """News of builds: handed on once votes may be cast, and exposure cannot be spent already."""
-        if event.phase in (api.Phase.GOING_BACK, api.Phase.WITHDRAWN):
+        if event.phase in (api.RolloutPhase.ROLLING_BACK, api.RolloutPhase.ROLLED_BACK):
             self._went_back(event.build)
         self._news = event
         if event.reply is not api.VoteReply.NONE or self.gates.open(Gate.VOTES):
             self._front.post(event)
 
-    def at_start(self, news: api.RolloutNews) -> None:
+    def at_start(self, news: api.RolloutState) -> None:
         """What the configuration says of builds, which may be older than what is on disk."""
         if self._news is None and news.build > self._gone_back:
             self._news = news
--- /dev/null
+++ b/frostfall/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decision module: every decision on requests and votes, sans-I/O."""
--- a/frostfall/brain.py
+++ b/frostfall/policy/engine.py
@@ -9,11 +9,12 @@
 from zlib import crc32
 
 from frostfall import interface as api
-from frostfall.interface import Availability, Effect, Outcome, Phase, Verdict, VoteReply
+from frostfall.interface import Availability, Idempotency, Outcome, RolloutPhase, Verdict, VoteReply
 from frostfall.knowledge.servers import Servers
-from frostfall.linalg import divergence, evidence, mixing_rate, partner, round_length, threshold
+from frostfall.mixing import exchange_partner, mixing_rate, round_length
 from frostfall.routing.ejection import Ejections
-from frostfall.state import Attempt, Ballot, Exchange, Known, Request, Test
+from frostfall.sprt import decision_threshold, kl_divergence, log_likelihood_ratio
+from frostfall.state import Attempt, GossipMessage, PendingRequest, PendingVote, SequentialTest, ServerState
 
 TICK, HOLD = 100_000, 50_000  # in us: one exchange, over a message's way; how often a held request is tried
 TICKS, HOLDS = "*tick", "*hold"  # tokens of our own timers: no request may be named so
@@ -46,49 +47,52 @@
 FILL, IDLE_FILL, IDLE_QUEUE, SPARE = 0.6, 0.9, 0.5, 0.3  # of the aim; if so few wait; kept for the worthiest
 
 
-class Brain:
+class PolicyEngine:
     """One agent."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:  # nothing is known of the fleet yet
-        self.set, self.agents = settings, max(settings.agents, settings.agent + 1)
+        self.settings, self.agents = settings, max(settings.agents, settings.agent + 1)
         self.rollout, self.limits, self.rules = settings.rollout, settings.limits, settings.rules
-        self.random, self.probing = random.Random(seed), settings.load_by_probe and settings.limits.probes
-        self.kinds = {kind.name: kind for kind in settings.classes}
+        self.random = random.Random(seed)
+        self.probing = settings.load_by_health_check and settings.limits.health_checks
+        self.request_classes = {kind.name: kind for kind in settings.classes}
         self.now, self.actions = 0, list[api.Action]()
-        self.servers, self.requests = dict[int, Known](), dict[str, Request]()
-        self.held: dict[str, Request] = {}  # requests with no server to go to yet, in order
+        self.servers, self.requests = dict[int, ServerState](), dict[str, PendingRequest]()
+        self.waiting: dict[str, PendingRequest] = {}  # requests with no server to go to yet, in order
         self.rate, self.rate_at, self.carried = 0.0, 0, 0.0  # requests served a second; the most by a server
-        self.fleet, self.trials, self.eager = list[Known](), list[Known](), EAGER  # servers up; on trial
+        self.fleet, self.trials = list[ServerState](), list[ServerState]()  # servers up; on trial
         self.norms = defaultdict[int, list[float]](lambda: [0.0, 1.0])  # by build: mean errors and slowness
-        self.shed, self.best = 0.0, max((kind.worth for kind in settings.classes), default=1.0)
+        self.shed, self.best = 0.0, max((kind.priority_weight for kind in settings.classes), default=1.0)
         self.retry_tokens, self.probe_tokens, self.holding = RETRY_DEPTH, 0.0, False
         self.mean_time, self.mean_hint = dict[str, float](), dict[str, float]()  # by class
-        self.usual, self.open, self.others, self.queue = 0.0, 0, 0.0, 1.0  # answer time; out; others; waiting
+        self.usual, self.in_flight, self.others, self.queue = 0.0, 0, 0.0, 1.0  # answer time; queue: waiting
         self.timed, self.ask_backoff, self.ask_at = defaultdict[str, int](int), SHUN_FIRST, 0
-        self.news: api.RolloutNews | None = None
+        self.rollout_state: api.RolloutState | None = None
         self.taken = defaultdict[str, deque[int]](deque)
-        self.exposed = defaultdict[tuple[int, str], deque[int]](deque)
+        self.exposures = defaultdict[tuple[int, str], deque[int]](deque)
         self.restarts, self.answered_by = list[int](), dict[str, int]()  # the latter of one-way keys
         self.turns, self.turn, self.tick = round_length(self.agents), -1, TICK
-        self.r = mixing_rate(self.agents, self.turns)
+        self.r, self.eager = mixing_rate(self.agents, self.turns), EAGER
         self.rows = dict[tuple[int, str], list[float]]()  # by build, class: own outcomes, failed, ever
         self.flags, self.calm, self.gone = dict[int, int](), 0.0, -1  # disputes; late before; build gone back
-        self.test: Test | None = None
-        self.ballot: Ballot | None = None
-        self.shared = Servers(self.agents, self.turns)  # what all agents saw of each server
+        self.test: SequentialTest | None = None
+        self.ballot: PendingVote | None = None
+        self.shared_health = Servers(self.agents, self.turns)  # what all agents saw of each server
         self.ejections = Ejections()  # servers that turned slow in the middle of an answer
         self.handlers: dict[type, Any] = {
             api.RequestArrived: self._arrive, api.AttemptEnded: self._ended, api.TimerFired: self._timer,
-            api.PeerMessage: self._hear, api.ServersListed: self._listed, api.RolloutNews: self._news,
-            api.ProbeEnded: self._probed, api.AnswerDisputed: self._disputed, api.StreamStarted: self._marked,
-            api.ClientLeft: self._marked, api.ServerSlowed: self._slowed}  # tallies only sample
+            api.GossipReceived: self._hear, api.ServerListUpdated: self._listed, api.RolloutState: self._news,
+            api.HealthCheckEnded: self._probed, api.AnswerDisputed: self._disputed,
+            api.StreamStarted: self._marked, api.ClientDisconnected: self._marked,
+            api.ServerDegraded: self._slowed}  # tallies only sample
 
     def start(self, now: int) -> list[api.Action]:
         """The first actions of a new instance."""
         self.now, self.actions = now, []
         self.actions.append(api.SetTimer(TICK - now % TICK, TICKS))  # by the clock: agents exchange in step
         # Danger: hundreds of agents that start together and ask at once are turned away.
-        self.ask_at = now + self.random.randrange(min(self.agents * APART, self.rules.ask_within) // 5 + 1)
+        spread = min(self.agents * APART, self.rules.watch_renewal_period) // 5
+        self.ask_at = now + self.random.randrange(spread + 1)
         return self.actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
@@ -102,31 +106,31 @@
             self._tick()
         elif event.token == HOLDS:
             self.holding = False
-            for request in list(self.held.values()):
+            for request in list(self.waiting.values()):
                 self._place(request)
-        elif (late := self.requests.get(event.token)) and self.now >= late.event.deadline - ANSWER_EARLY:
+        elif (late := self.requests.get(event.token)) and self.now >= late.arrival.deadline - ANSWER_EARLY:
             self._give_up(late)  # else the timer was an earlier request's of this name
 
-    def _marked(self, event: api.StreamStarted | api.ClientLeft) -> None:
+    def _marked(self, event: api.StreamStarted | api.ClientDisconnected) -> None:
         if request := self.requests.get(event.request):
             request.streaming = isinstance(event, api.StreamStarted)
             if not request.streaming:
                 self._close(request)
 
-    def _slowed(self, event: api.ServerSlowed) -> None:
+    def _slowed(self, event: api.ServerDegraded) -> None:
         self.ejections.slowed(self.now, event.server, len(self.fleet))
 
-    def _listed(self, event: api.ServersListed) -> None:
-        if event.kind is api.ListKind.FAILED:
+    def _listed(self, event: api.ServerListUpdated) -> None:
+        if event.kind is api.ServerListKind.FAILED:
             # Danger: without a subscription we send to servers that have left. Ask again, ever more slowly.
             self.ask_at = self.now + self.ask_backoff + self.random.randrange(100_000)
             self.ask_backoff = min(self.ask_backoff * 2, SHUN_MOST)
             return
-        if event.kind is not api.ListKind.REMEMBERED:  # which nobody was asked for
-            self.ask_at = self.now + max(self.rules.ask_within, self.agents * APART)
+        if event.kind is not api.ServerListKind.CACHED:  # which nobody was asked for
+            self.ask_at = self.now + max(self.rules.watch_renewal_period, self.agents * APART)
         self.ask_backoff, listed = SHUN_FIRST, {info.id for info in event.servers}
         self.servers = {name: s for name, s in self.servers.items() if name in listed or (
-            event.kind is api.ListKind.CHANGES)}
+            event.kind is api.ServerListKind.DELTA)}
         for info in event.servers:
             old = self.servers.get(info.id)
             if info.availability is Availability.REMOVED:
@@ -138,24 +142,26 @@
                 # Danger: agents together push a cold server over. By a chance start, parts of a send add up.
                 rank, credit = self.random.random(), self.random.random()
                 self.ejections.forget(info.id)
-                self.servers[info.id] = Known(info, rank, credit=credit, credit_at=self.now)
+                state = ServerState(info, rank, warm_up_credit=credit, credit_updated_at=self.now)
+                self.servers[info.id] = state
         up = (s for s in self.servers.values() if s.info.availability is Availability.UP)
         self.fleet = sorted(up, key=lambda s: s.rank)
         self._weigh()
 
     def _weigh(self) -> None:
         self.trials = [s for s in self.fleet if self.test and s.info.build == self.test.key[0]]
-        self.shared.listed({s.start for s in self.servers.values()}, [s.start for s in self.trials])
+        trials = [s.incarnation for s in self.trials]
+        self.shared_health.listed({s.incarnation for s in self.servers.values()}, trials)
         on_top = len(self.trials) if self.rollout and self.rollout.keeps_old_servers else 0
         self.eager = EAGER * (1 + 8 * on_top / max(len(self.fleet), 1))
 
-    def _age(self, server: Known) -> int:
+    def _age(self, server: ServerState) -> int:
         return self.now - server.info.started_at if server.info.started_at else 1 << 60
 
-    def _capacity(self, server: Known) -> float:
+    def _capacity(self, server: ServerState) -> float:
         """The least share of its full capacity that a server can have by now."""
-        warm = min(1.0, max(0.0, self._age(server) / max(self.rules.warm_up, 1)))
-        return self.rules.cold_share + (1 - self.rules.cold_share) * warm
+        warm = min(1.0, max(0.0, self._age(server) / max(self.rules.warm_up_duration, 1)))
+        return self.rules.warm_up_initial_share + (1 - self.rules.warm_up_initial_share) * warm
 
     def _served(self) -> float:  # requests per second of late
         past, self.rate_at = self.rate_at - self.now, self.now
@@ -163,19 +169,20 @@
         self.carried = max(self.carried * math.exp(past / CARRY_MEMORY), self.rate / max(len(self.fleet), 1))
         return self.rate
 
-    def _credit(self, server: Known) -> float:
+    def _credit(self, server: ServerState) -> float:
         # Our part of what a server carries (served: more may be asked than can be done), times its least
         # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
         # Danger: a fleet all cold serves less, and would be allowed less still. What was carried counts.
         self._served()
         everyone = max(self.carried, self.test.carried * self._pool(self.test) if self.test else 0.0)
-        most = self.rules.fall_multiple * self._capacity(server)
-        budget = max(most * everyone * self.rules.fall_window / 1e6, 1e-9)
+        most = self.rules.overload_multiple * self._capacity(server)
+        budget = max(most * everyone * self.rules.overload_window / 1e6, 1e-9)
         safe = max(1 + (LUCK ** 2 - LUCK * math.sqrt(2 * budget + LUCK ** 2)) / budget, 0.0)
         earned = max(most * self.carried * safe, COLD_LEAST / self.agents)
-        span = min(self.now - server.credit_at, self.rules.fall_window) / 1e6
-        server.credit, server.credit_at = min(server.credit + earned * span, 1.0), self.now
-        return server.credit
+        span = min(self.now - server.credit_updated_at, self.rules.overload_window) / 1e6
+        server.credit_updated_at = self.now
+        server.warm_up_credit = min(server.warm_up_credit + earned * span, 1.0)
+        return server.warm_up_credit
 
     # ---- guards: every send and refusal passes here, whatever policy chose it ----------------------------
 
@@ -186,148 +193,149 @@
         if request is None or request.attempts[number].outcome is not None:
             return False
         attempt = request.attempts[number]
-        log = self.exposed[attempt.server.info.build, request.group]
+        log = self.exposures[attempt.server.info.build, request.exposure_group]
         if attempt.sent_at in log:  # it counts from when it is written, if it is
             log.remove(attempt.sent_at)
         if may := self._may_send(request, attempt.server, attempt):
             log.append(now)
         return may
 
-    def _may_send(self, request: Request, server: Known, writing: Attempt | None = None) -> bool:
+    def _may_send(self, request: PendingRequest, server: ServerState, writing: Attempt | None = None) -> bool:
         kind, tries, info = request.kind, request.attempts, server.info
         if writing:
             tries = [attempt for attempt in tries if attempt is not writing]
-        if (request.done or self.now >= request.event.deadline or len(tries) >= self.limits.max_attempts
+        if (request.done or self.now >= request.arrival.deadline or len(tries) >= self.limits.max_attempts
                 or info.availability is not Availability.UP or self.servers.get(info.id) is not server):
             return False
-        parallel = self.limits.parallel_attempts and kind.effect is Effect.SAFE
+        parallel = self.limits.parallel_attempts and kind.idempotent
         for earlier in tries:
             if (earlier.outcome is None and not parallel) or (
                     earlier.may_have_run and not self._repeatable(kind, earlier, info)):
                 return False
-        paid = writing is not None or self._age(server) >= self.rules.warm_up  # of the cold budget
+        paid = writing is not None or self._age(server) >= self.rules.warm_up_duration  # of the cold budget
         return self._within_exposure(request, info.build) and (paid or self._credit(server) >= 1)
 
     def _repeatable(self, kind: api.RequestClass, earlier: Attempt, target: api.Server) -> bool:
-        if kind.effect is not Effect.KEYED:
-            return kind.effect is Effect.SAFE
-        first = earlier.server.info
-        same = kind.key_group is api.KeyGroup.ALL or (
-            first.zone == target.zone if kind.key_group is api.KeyGroup.ZONE else first.cell == target.cell)
-        return same and self.now - earlier.sent_at < kind.key_ttl
-
-    def _may_refuse(self, request: Request) -> bool:
-        effect, group = request.kind.effect, request.kind.key_group
-        harmless = effect is Effect.SAFE or (effect is Effect.KEYED and group is api.KeyGroup.ALL)
-        return harmless or not any(attempt.may_have_run for attempt in request.attempts)
+        if kind.idempotency is not Idempotency.KEYED:
+            return kind.idempotent
+        same = kind.deduplicates_between(earlier.server.info, target)
+        return same and self.now - earlier.sent_at < kind.deduplication_window
+
+    def _may_refuse(self, request: PendingRequest) -> bool:
+        return request.kind.repeatable_anywhere or not any(each.may_have_run for each in request.attempts)
 
     def _on_trial(self, build: int) -> bool:
-        news = self.news if self.rollout else None
-        return news is not None and build >= news.build + (news.phase is Phase.RELEASED)
+        news = self.rollout_state if self.rollout else None
+        return news is not None and build >= news.build + (news.phase is RolloutPhase.RELEASED)
 
-    def _within_exposure(self, request: Request, build: int) -> bool:
-        rollout, news = self.rollout, self.news
+    def _within_exposure(self, request: PendingRequest, build: int) -> bool:
+        rollout, news = self.rollout, self.rollout_state
         if rollout is None or news is None:  # not told yet what is on trial: only the lowest build cannot be
             return rollout is None or build == min(s.info.build for s in self.servers.values())
-        if rollout.one_way and news.phase in (Phase.TRIAL, Phase.RELEASED) and (
-                build < self.answered_by.get(request.event.key or "", 0)):
+        if rollout.forward_only_keys and news.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED) and (
+                build < self.answered_by.get(request.arrival.key or "", 0)):
             return False
         if not self._on_trial(build):
             return True
         stage, cap = (news.stage, news.cap) if build == news.build else (0, rollout.stage_caps[0])
-        if cap <= 0 or (stage < rollout.closed_stages and request.kind.effect is not Effect.SAFE):
+        if cap <= 0 or (stage < rollout.idempotent_only_stages and not request.kind.idempotent):
             return False
         # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
         while self.restarts and self.now >= self.restarts[0]:
             self.restarts.pop(0)
             self.taken.clear()
-        taken, sent = self._count(self.taken[request.group]), self._count(self.exposed[build, request.group])
-        return len(sent) + 1 <= rollout.free_attempts + cap * len(taken)
+        group = request.exposure_group
+        taken, sent = self._count(self.taken[group]), self._count(self.exposures[build, group])
+        return len(sent) + 1 <= rollout.uncounted_attempts + cap * len(taken)
 
     def _count(self, log: deque[int]) -> deque[int]:  # what lies in the window of the rule on exposure
-        window = self.rollout.window if self.rollout else 0
+        window = self.rollout.exposure_window if self.rollout else 0
         while log and log[0] < self.now - window:
             log.popleft()
         return log
 
-    def _send(self, request: Request, server: Known, mean: float) -> None:
+    def _send(self, request: PendingRequest, server: ServerState, mean: float) -> None:
         """Send, if the guards allow it: the only place where an attempt begins."""
-        name = request.event.request
+        name = request.arrival.request
         if not self._may_send(request, server):
             raise AssertionError(f"policy chose to send {name} where the guards forbid it")
-        self._count(self.exposed[server.info.build, request.group]).append(self.now)
-        server.credit = max(server.credit - 1, 0.0)
-        self.open += 1
+        self._count(self.exposures[server.info.build, request.exposure_group]).append(self.now)
+        server.warm_up_credit = max(server.warm_up_credit - 1, 0.0)
+        self.in_flight += 1
         request.attempts.append(Attempt(server, self.now, max(1.0, self._load(server) / mean)))
-        server.out[name, len(request.attempts) - 1] = self.now
+        server.in_flight[name, len(request.attempts) - 1] = self.now
         self.actions.append(api.SendAttempt(name, server.info.id, self._timeout(request)))
 
-    def _give_up(self, request: Request) -> None:
+    def _give_up(self, request: PendingRequest) -> None:
         if request.done or request.streaming:
             return
         self._cancel(request)
-        wait = min(self.limits.max_retry_after, request.kind.aim // 2) * self.limits.retry_after
-        name = request.event.request
-        self.actions.append(api.Refuse(name, wait) if self._may_refuse(request) else api.Fail(name))
+        name, objective = request.arrival.request, request.kind.latency_objective
+        wait = min(self.limits.max_retry_after, objective // 2) * self.limits.retry_after
+        reject = api.RejectRequest(name, wait)
+        self.actions.append(reject if self._may_refuse(request) else api.FailRequest(name))
         self._close(request)
 
-    def _cancel(self, request: Request) -> None:
+    def _cancel(self, request: PendingRequest) -> None:
         for number, attempt in enumerate(request.attempts):
             if attempt.outcome is None and self.limits.may_cancel and not request.streaming:
-                self.actions.append(api.CancelAttempt(request.event.request, number))
+                self.actions.append(api.CancelAttempt(request.arrival.request, number))
 
-    def _close(self, request: Request) -> None:
+    def _close(self, request: PendingRequest) -> None:
         request.done = True
-        self.held.pop(request.event.request, None)
+        self.waiting.pop(request.arrival.request, None)
         if all(attempt.outcome is not None for attempt in request.attempts):
-            self.requests.pop(request.event.request, None)
+            self.requests.pop(request.arrival.request, None)
 
     def _arrive(self, event: api.RequestArrived) -> None:
         left = event.deadline - self.now  # of a class that the settings do not name, the least is promised
-        unknown = api.RequestClass(event.class_name, Effect.UNSAFE, api.KeyGroup.ALL, 0, left, left, 0.0)
-        kind = self.kinds.get(event.class_name, unknown)
-        group = kind.name if self.rollout and self.rollout.per_class else ""
-        request = self.requests[event.request] = Request(event, kind, self.now, group)
+        name, effect = event.class_name, Idempotency.NON_IDEMPOTENT
+        unknown = api.RequestClass(name, effect, api.DeduplicationScope.ALL, 0, left, left, 0.0)
+        kind = self.request_classes.get(name, unknown)
+        group = kind.name if self.rollout and self.rollout.exposure_per_class else ""
+        request = self.requests[event.request] = PendingRequest(event, kind, self.now, group)
         self.retry_tokens = min(self.retry_tokens + RETRY_SHARE, RETRY_DEPTH)
         self._count(self.taken[group]).append(self.now)
         self.probe_tokens = min(self.probe_tokens + PROBE_SHARE, 2.0)
-        mean = self.mean_hint.get(kind.name, float(event.hint or 0))
-        self.mean_hint[kind.name] = mean + LEARN_MEAN * ((event.hint or mean) - mean)
+        mean = self.mean_hint.get(kind.name, float(event.service_time_hint or 0))
+        self.mean_hint[kind.name] = mean + LEARN_MEAN * ((event.service_time_hint or mean) - mean)
         self.actions.append(api.SetTimer(max(left - ANSWER_EARLY, 0), event.request))
         # Danger: an agent with little open cannot see by its count that all is overloaded; late answers tell.
-        shed = self.shed ** (2 * kind.worth / max(self.best, 1e-9)) if self.shed else 0.0
+        shed = self.shed ** (2 * kind.priority_weight / max(self.best, 1e-9)) if self.shed else 0.0
         (self._give_up if self.random.random() < shed else self._place)(request)
 
-    def _room(self, request: Request) -> bool:
+    def _room(self, request: PendingRequest) -> bool:
         # Danger: when more is asked than can be served, all come late. So no more is open than is served in
         # what answers may take (Little's law), by a class's aim and own times; the least worthy wait first.
         kind, fill = request.kind, IDLE_FILL if self.queue < IDLE_QUEUE else FILL
         part = self.mean_time.get(kind.name, self.usual) / self.usual if self.usual else 1.0
-        fit = max(self._served() * fill * kind.aim / max(part, 0.3) / 1e6 + 2, len(self.servers) / 2,
+        little = self._served() * fill * kind.latency_objective / max(part, 0.3) / 1e6 + 2
+        fit = max(little, len(self.servers) / 2,
                   len(self.fleet) * (EACH - self.others))  # servers that hold so little, by their reports
-        return self.open < fit * (1 - SPARE + SPARE * kind.worth / max(self.best, 1e-9))
+        return self.in_flight < fit * (1 - SPARE + SPARE * kind.priority_weight / max(self.best, 1e-9))
 
-    def _place(self, request: Request) -> None:
+    def _place(self, request: PendingRequest) -> None:
         # Danger: hundreds of agents that connect to every server fill its table, and learn nothing of any by
         # a request now and then. So each keeps to as many as its traffic keeps connected, in random order.
-        worth = int(self._served() * self.limits.connection_idle / 1e6 / NEAR_USES)
+        worth = int(self._served() * self.limits.connection_idle_timeout / 1e6 / NEAR_USES)
         room, now, may = self._room(request), self.now, self._may_send
         fleet, whole = self.fleet, not self.ejections
         if not whole:  # Danger: what drips looks idle and fails nothing for long
-            harmless, let = request.kind.effect is not Effect.UNSAFE, self.ejections.admits
-            fleet = [s for s in fleet if let(now, s.info.id, len(s.out), harmless)] or fleet
-        near = [s for s in fleet if (room or self.probing) and s.shunned_until <= now][:max(NEAR, worth)]
+            harmless, let = request.kind.retryable, self.ejections.admits
+            fleet = [s for s in fleet if let(now, s.info.id, len(s.in_flight), harmless)] or fleet
+        near = [s for s in fleet if (room or self.probing) and s.ejected_until <= now][:max(NEAR, worth)]
         some = near if len(near) <= SAMPLE else self.random.sample(near, SAMPLE)
         # Danger: a build's first machines are near few agents. What their cold budget leaves is used at once.
-        urgent = [s for s in self.trials if self._age(s) < self.rules.warm_up and (whole or s in fleet)
+        young = self.rules.warm_up_duration
+        urgent = [s for s in self.trials if self._age(s) < young and (whole or s in fleet)
                   ] if self._short() else []
-        options = [s for s in (*urgent, *some) if room and s.shunned_until <= now and may(request, s)]
+        options = [s for s in (*urgent, *some) if room and s.ejected_until <= now and may(request, s)]
         if some and room and not options:
             # Danger: with the fleet all cold, what the budget allows lies at servers beyond those kept to.
-            more = (s for s in self.random.sample(fleet, min(SEARCH, len(fleet))) if s.shunned_until <= now)
+            more = (s for s in self.random.sample(fleet, min(SEARCH, len(fleet))) if s.ejected_until <= now)
             options = [s for s in more if may(request, s)][:SAMPLE]
         if options:
-            self.held.pop(request.event.request, None)
+            self.waiting.pop(request.arrival.request, None)
             wanted = [s for s in options if self._wanted(request, s)] or options
             preferred = [s for s in wanted if s in urgent] or wanted
             # Danger: by late reports all rush to the server that looks idle; by none, to what is preferred.
@@ -337,87 +345,89 @@
             usual = sorted(costs)[len(costs) // 2]
             odds = [(cost / usual) ** -power for cost, power in zip(costs, keen)]
             self._send(request, self.random.choices(preferred, odds)[0], mean)
-        elif now - request.arrived_at < request.kind.aim // 3 and (  # as many as can be served by then
-                len(self.held) < NEAR + self._served() * request.kind.aim / 3e6):
-            self.held[request.event.request] = request
+        elif now - request.arrived_at < request.kind.latency_objective // 3 and (
+                len(self.waiting) < NEAR + self._served() * request.kind.latency_objective / 3e6):
+            self.waiting[request.arrival.request] = request
             if not self.holding:
                 self.holding = True
                 self.actions.append(api.SetTimer(HOLD, HOLDS))
         else:
             self._give_up(request)
         if self.probing and self.probe_tokens >= 1 and some:
-            oldest = min(some, key=lambda s: s.probed_at)
-            oldest.probed_at, self.probe_tokens = self.now, self.probe_tokens - 1
-            self.actions.append(api.ProbeServer(oldest.info.id))
+            oldest = min(some, key=lambda s: s.checked_at)
+            oldest.checked_at, self.probe_tokens = self.now, self.probe_tokens - 1
+            self.actions.append(api.CheckServerHealth(oldest.info.id))
 
     def _short(self) -> bool:
         return self.test is not None and self.test.count * self._pool(self.test) < LEAST_POOLED
 
-    def _wanted(self, request: Request, server: Known) -> bool:
-        build, news = server.info.build, self.news
+    def _wanted(self, request: PendingRequest, server: ServerState) -> bool:
+        build, news = server.info.build, self.rollout_state
         if news is None or not self._on_trial(build):
             return True
         # Danger: if a low score stopped the traffic before a vote has its outcomes, there would be no vote.
-        if news.phase is not Phase.TRIAL or (self.test and self.test.lean <= -1 and not self._short()):
+        if news.phase is not RolloutPhase.TRIAL or (self.test and self.test.lean <= -1 and not self._short()):
             return False
-        return request.kind.effect is Effect.SAFE or (build == news.build and news.stage > 0)
+        return request.kind.idempotent or (build == news.build and news.stage > 0)
 
-    def _load(self, server: Known) -> float:
-        others = self.others + (server.others - self.others) * math.exp((server.told_at - self.now) / STALE)
-        return (1.0 + len(server.out) + others) / max(server.info.size, 0.1)
+    def _load(self, server: ServerState) -> float:
+        fresh = math.exp((server.reported_at - self.now) / STALE)
+        others = self.others + (server.others_in_flight - self.others) * fresh
+        return (1.0 + len(server.in_flight) + others) / max(server.info.size, 0.1)
 
-    def _keen(self, server: Known) -> float:  # power of a server's cost: full after a report, then 1
-        return 1.0 + (KEEN - 1) * math.exp((server.told_at - self.now) / TRUST)
+    def _keen(self, server: ServerState) -> float:  # power of a server's cost: full after a report, then 1
+        return 1.0 + (KEEN - 1) * math.exp((server.reported_at - self.now) / TRUST)
 
-    def _faded(self, server: Known) -> tuple[float, float]:  # errors, slowness
+    def _faded(self, server: ServerState) -> tuple[float, float]:  # errors, slowness
         # Danger: a server that looks bad gets nothing, so nothing corrects the look.
         kept = math.exp((server.learned_at - self.now) / FORGET)
-        return server.errors * kept, 1 + (server.slow - 1) * kept
+        return server.error_rate * kept, 1 + (server.slowness - 1) * kept
 
-    def _cost(self, request: Request, server: Known, cost: float, keen: float, informed: float) -> float:
+    def _cost(self, request: PendingRequest, server: ServerState, cost: float, keen: float,
+              informed: float) -> float:
         info = server.info  # its cost begins with its load
         # Danger: shunning a failing trial build would end the evidence on it, and shunning only the failing
         # machines of the earlier one would flatter p0. So a machine is held against others of its build.
         norm, (errors, slow) = self.norms[info.build], self._faded(server)  # fades by itself: counts in full
         # Danger: an agent that asks a server now and then forgets its errors before it meets the next.
-        errors = min(max(max(errors, server.errors_seen) - norm[0], 0.0), 0.9)
+        errors = min(max(max(errors, server.shared_error_rate) - norm[0], 0.0), 0.9)
         cost *= math.pow(slow / norm[1] / (1.0 - errors) ** 2, KEEN / keen)
         trial = self.test if self.test and info.build == self.test.key[0] else None
         cost *= 2.0 ** -(self.eager * informed * (1 + min(trial.lean, 1.0))) if trial else 1.0
         cost /= 1.0 if trial and self._short() else self._capacity(server)
-        if server.out and self.usual:  # Danger: a lost, stuck or slow server looks idle to its list.
-            overdue = (self.now - min(server.out.values())) / self.usual / OVERDUE
+        if server.in_flight and self.usual:  # Danger: a lost, stuck or slow server looks idle to its list.
+            overdue = (self.now - min(server.in_flight.values())) / self.usual / OVERDUE
             cost *= min(max(overdue, 1.0), 10.0)
-        cost *= 1 + 5 * self.set.prices.cross_zone * (info.zone != self.set.zone)
-        if request.event.key and self.rollout and self.rollout.warm_keys:
-            cost *= 0.85 + 0.3 * crc32(f"{request.event.key}/{info.id}".encode()) / 2**32
+        cost *= 1 + 5 * self.settings.prices.cross_zone * (info.zone != self.settings.zone)
+        if request.arrival.key and self.rollout and self.rollout.key_affinity:
+            cost *= 0.85 + 0.3 * crc32(f"{request.arrival.key}/{info.id}".encode()) / 2**32
         return cost
 
-    def _timeout(self, request: Request) -> int:
-        kind, left = request.kind, request.event.deadline - self.now
+    def _timeout(self, request: PendingRequest) -> int:
+        kind, left = request.kind, request.arrival.deadline - self.now
         mean = self.mean_time.get(kind.name, kind.deadline)
-        cut = int(max(6 * mean, 0.7 * kind.aim))
-        if kind.effect is Effect.KEYED:
+        cut = int(max(6 * mean, 0.7 * kind.latency_objective))
+        if kind.idempotency is Idempotency.KEYED:
             # Danger: with its window over, a keyed request may go nowhere else. So it is cut while a repeat
             # may still go, or not at all where usual answers take that long.
-            soon = int(WINDOW_PART * kind.key_ttl)
+            soon = int(WINDOW_PART * kind.deduplication_window)
             cut = min(cut, soon) if soon >= WINDOW_LEAST * mean else left
-        return left if kind.effect is Effect.UNSAFE or self.retry_tokens < 1 else min(left, cut)
+        return left if not kind.retryable or self.retry_tokens < 1 else min(left, cut)
 
     def _ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or request.attempts[event.attempt].outcome is not None:
             return
-        attempt, key = request.attempts[event.attempt], request.event.key
+        attempt, key = request.attempts[event.attempt], request.arrival.key
         attempt.outcome = event.outcome
-        attempt.server.out.pop((event.request, event.attempt), None)
-        self.open -= 1
+        attempt.server.in_flight.pop((event.request, event.attempt), None)
+        self.in_flight -= 1
         if self.ejections and event.outcome is Outcome.SUCCESS:
             self.ejections.served(self.now, event.server)
         self._learn(request, attempt, event)
         self._judge(request, attempt, event)
         if event.final or request.done:
-            build, one_way = attempt.server.info.build, self.rollout and self.rollout.one_way
+            build, one_way = attempt.server.info.build, self.rollout and self.rollout.forward_only_keys
             if event.outcome is Outcome.SUCCESS and key and one_way and self._on_trial(build):
                 self.answered_by[key] = build
             self._cancel(request)
@@ -425,85 +435,87 @@
         elif all(earlier.outcome is not None for earlier in request.attempts):
             self._again(request, event.outcome)
 
-    def _again(self, request: Request, outcome: Outcome) -> None:
-        allowed = outcome.never_ran or request.kind.effect is not Effect.UNSAFE
-        if not allowed or request.event.deadline - self.now < ANSWER_EARLY or self.retry_tokens < 1:
+    def _again(self, request: PendingRequest, outcome: Outcome) -> None:
+        allowed = outcome.never_ran or request.kind.idempotency is not Idempotency.NON_IDEMPOTENT
+        if not allowed or request.arrival.deadline - self.now < ANSWER_EARLY or self.retry_tokens < 1:
             return self._give_up(request)
         self.retry_tokens -= 0.2 if outcome in (Outcome.UNREACHABLE, Outcome.NEVER_SENT) else 1.0
         return self._place(request)
 
-    def _learn(self, request: Request, attempt: Attempt, event: api.AttemptEnded) -> None:
+    def _learn(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
         server, name = attempt.server, request.kind.name
         silent = event.outcome is Outcome.UNREACHABLE or (
             event.outcome is Outcome.TIMED_OUT and server.heard_at <= attempt.sent_at)
         if silent or event.outcome in (Outcome.SUCCESS, Outcome.ERROR):  # who is late tells of load
-            self.shared.ended(server.start, server.info.zone, event.outcome is Outcome.ERROR, silent)
+            failed = event.outcome is Outcome.ERROR
+            self.shared_health.ended(server.incarnation, server.info.zone, failed, silent)
         if event.outcome is Outcome.UNREACHABLE:
-            server.shun = min(max(server.shun * 2, SHUN_FIRST), SHUN_MOST)
-            server.shunned_until = self.now + server.shun
+            server.ejection_pause = min(max(server.ejection_pause * 2, SHUN_FIRST), SHUN_MOST)
+            server.ejected_until = self.now + server.ejection_pause
             return
         if event.outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED):
-            server.heard_at, server.shun = self.now, 0
-            server.shunned_until = self.now + SHUN_FIRST * (event.outcome is Outcome.OVERLOADED)
+            server.heard_at, server.ejection_pause = self.now, 0
+            server.ejected_until = self.now + SHUN_FIRST * (event.outcome is Outcome.OVERLOADED)
         norm = self.norms[server.info.build]
-        server.errors, server.slow = self._faded(server)
+        server.error_rate, server.slowness = self._faded(server)
         server.learned_at = self.now
         if event.outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET):
-            server.errors += LEARN_ERRORS * ((event.outcome is not Outcome.SUCCESS) - server.errors)
-            norm[0] += LEARN_NORM * (server.errors - norm[0])
+            server.error_rate += LEARN_ERRORS * ((event.outcome is not Outcome.SUCCESS) - server.error_rate)
+            norm[0] += LEARN_NORM * (server.error_rate - norm[0])
         self.rate = self._served() + (event.outcome is Outcome.SUCCESS) * 1e6 / RATE_MEMORY
         if event.outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
-            step = SHED_UP if event.elapsed > request.kind.aim else -SHED_DOWN
+            step = SHED_UP if event.elapsed > request.kind.latency_objective else -SHED_DOWN
             # Danger: with few answers a second, an agent would go on shedding for long. And who waits for a
             # server that is gone waits for no load.
             step *= min(max(SHED_PACE / max(self.rate, 1.0), 1.0), 3.0) * (not silent)
             self.shed = min(max(self.shed + step, 0.0), SHED_MOST)
             times = event.elapsed / max(self._usual(request), 1.0)
-            server.slow += LEARN_SLOW * (min(max(times, 0.3), 8.0) - server.slow)
-            norm[1] += LEARN_NORM * (server.slow - norm[1])
+            server.slowness += LEARN_SLOW * (min(max(times, 0.3), 8.0) - server.slowness)
+            norm[1] += LEARN_NORM * (server.slowness - norm[1])
             self.timed[name] += 1
             mean, weight = self.mean_time.get(name, 0.0), max(LEARN_MEAN, 1 / self.timed[name])
             self.mean_time[name] = mean + weight * (event.elapsed - mean)
             self.usual += weight * (event.elapsed - self.usual)
         self._report(server, event.load)
 
-    def _usual(self, request: Request) -> float:
-        name, hint = request.kind.name, request.event.hint
+    def _usual(self, request: PendingRequest) -> float:
+        name, hint = request.kind.name, request.arrival.service_time_hint
         work = min(max(hint / max(self.mean_hint[name], 1.0), 0.3), 3.0) if hint else 1.0
-        return work * self.mean_time.get(name, request.kind.aim / 2)
+        return work * self.mean_time.get(name, request.kind.latency_objective / 2)
 
-    def _report(self, server: Known, load: api.Load | None) -> None:
+    def _report(self, server: ServerState, load: api.LoadReport | None) -> None:
         self.queue += LEARN_NORM * (load.queued - self.queue) if load and load.queued is not None else 0.0
-        if load and (held := load.held if load.held is not None else load.queued) is not None:
-            server.others, server.told_at = max(0.0, held - len(server.out)), self.now
-            self.others += LEARN_NORM * (server.others - self.others)
+        if load and (held := load.in_flight if load.in_flight is not None else load.queued) is not None:
+            server.others_in_flight, server.reported_at = max(0.0, held - len(server.in_flight)), self.now
+            self.others += LEARN_NORM * (server.others_in_flight - self.others)
 
-    def _probed(self, event: api.ProbeEnded) -> None:
+    def _probed(self, event: api.HealthCheckEnded) -> None:
         if (server := self.servers.get(event.server)) and event.outcome is Outcome.SUCCESS:
             server.heard_at = self.now
             self._report(server, event.load)
 
-    def _news(self, news: api.RolloutNews) -> None:
+    def _news(self, news: api.RolloutState) -> None:
         if news.reply in (VoteReply.NONE, VoteReply.COUNTED):
-            if self.news and news.cap < self.news.cap:
+            if self.rollout_state and news.cap < self.rollout_state.cap:
                 self.restarts.append(self.now + self.rules.drain_grace)
-            self.news = news
-            key = (news.build, news.stage if news.phase is Phase.TRIAL else -1)
+            self.rollout_state = news
+            key = (news.build, news.stage if news.phase is RolloutPhase.TRIAL else -1)
             # Danger: in a large fleet a round takes a second, and each stage would wait for two of them.
-            votes = self.rollout is not None and self.rollout.control is api.Control.VOTES
-            fast = votes and news.phase is Phase.TRIAL and self.turns >= LONG
+            votes = self.rollout is not None and self.rollout.control is api.RolloutControl.VOTES
+            fast = votes and news.phase is RolloutPhase.TRIAL and self.turns >= LONG
             self.tick = TRIAL_TICK if fast else TICK
-            if news.phase in (Phase.GOING_BACK, Phase.WITHDRAWN):
+            if news.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
                 self.test, self.gone = None, news.build
-                self.shared.on_trial()
+                self.shared_health.on_trial()
             elif self.test is None or self.test.key != key:
                 old, was = self.test, self._forget(news.build)
                 base = old.base if old and old.key[0] == news.build else [
                     sum(row[k] for (b, _), row in self.rows.items() if b == was) for k in (0, 1)]
                 # Danger: from zero at each stage, lateness that lasts would tell after the release only.
                 late = min(old.mix[1], 0.0) if old and old.key[0] == news.build else 0.0
-                self.test = Test(key, self.now - news.age, base, [0.0, late, 0.0, 0.0, *base, *[0.0] * 7])
-                self.shared.on_trial(key)
+                mix = [0.0, late, 0.0, 0.0, *base, *[0.0] * 7]
+                self.test = SequentialTest(key, self.now - news.age, base, mix)
+                self.shared_health.on_trial(key)
                 self._weigh()
         if news.reply in (VoteReply.OVERLOADED, VoteReply.ERROR, VoteReply.UNKNOWN) and self.ballot:
             self.ballot.renew_at = self.now + 300_000 + self.random.randrange(500_000)
@@ -512,7 +524,7 @@
         # Danger: where builds follow one another all day, what is kept of each would add up.
         since = self._earlier(build)
         self.answered_by = {key: b for key, b in self.answered_by.items() if b >= build}
-        for kept in list[dict[Any, Any]]((self.rows, self.flags, self.norms, self.exposed)):
+        for kept in list[dict[Any, Any]]((self.rows, self.flags, self.norms, self.exposures)):
             for key, b in [(key, key if isinstance(key, int) else key[0]) for key in kept]:
                 kept.pop(key) if b < since or b == self.gone else None
         return since
@@ -520,40 +532,40 @@
     def _earlier(self, build: int) -> int:  # a build that went back is no measure for the next
         return max((b for b, _ in self.rows if b < build and b != self.gone), default=-1)
 
-    def _p0(self, test: Test, name: str | None) -> float:
+    def _p0(self, test: SequentialTest, name: str | None) -> float:
         # The earlier build's smoothed share of failures: of all agents, or of a class, leaning on that.
         total, bad = (number * self._pool(test) for number in test.base)
         p0 = (bad + PRIOR_BAD * PRIOR_WEIGHT) / (total + PRIOR_WEIGHT)
         row = self.rows.get((self._earlier(test.key[0]), name or ""), [0.0, 0.0])
         return min((row[1] + p0 * PRIOR_WEIGHT) / (row[0] + PRIOR_WEIGHT), 0.9 - MARGIN)
 
-    def _p0_late(self, test: Test) -> float | None:  # the earlier build's share of late answers now
+    def _p0_late(self, test: SequentialTest) -> float | None:  # the earlier build's share of late answers now
         answers, late = (number * self._pool(test) for number in test.recent)
         # Danger: what is left of an earlier build that leaves is idle; in an overload load tells who is late.
         enough = LATE_LEAST <= answers > late / LATE_CALM and test.timed[0] >= LATE_PART * test.timed[2]
         return min((late + 1) / (answers + 10), 0.9 - LATE_MARGIN) if enough else None
 
-    def _pool(self, test: Test) -> float:  # how many agents' numbers the mixed ones are the mean of
+    def _pool(self, test: SequentialTest) -> float:  # how many agents' numbers the mixed ones are the mean of
         return self.agents if test.missed == 0 else min(2.0 ** test.met, self.agents)
 
-    def _streams(self, test: Test, name: str | None = None) -> list[tuple[float, float] | None]:
+    def _streams(self, test: SequentialTest, name: str | None = None) -> list[tuple[float, float] | None]:
         # Failures, lateness, disputes: p0 and p1 - p0, or None. Danger: in one sum, one would cover another.
-        late, share = self._p0_late(test), self.rollout.flag_share if self.rollout else 0.0
+        late, share = self._p0_late(test), self.rollout.dispute_report_share if self.rollout else 0.0
         build = self._earlier(test.key[0])
         answers = sum(row[2] for (b, _), row in self.rows.items() if b == build)
         flagged = max((self.flags.get(build, 0) + 1) / (answers + 1 / FLAG_FLOOR), FLAG_FLOOR)
         return [(self._p0(test, name), MARGIN), (late, LATE_MARGIN) if late is not None else None,
                 (flagged, MARGIN * share) if share else None]
 
-    def _bands(self, test: Test) -> list[tuple[float, float]]:
+    def _bands(self, test: SequentialTest) -> list[tuple[float, float]]:
         # Danger: with peers silent or cut off the mixed score is the mean of few agents', and strays further.
         # r is that of the exchanges of the round that took place: each halves the spread's square.
         n, r = self.agents, max(self.r, 2.0 ** (-test.met / 2)) if test.missed else self.r
         pace = test.count / max(test.steps, 1)
-        rates = [divergence(sum(each), each[0]) * pace if each else 0.0 for each in self._streams(test)]
-        return [(threshold(ALPHA, n, r, m), -threshold(BETA / n, n, r, m)) for m in rates]
+        rates = [kl_divergence(sum(each), each[0]) * pace if each else 0.0 for each in self._streams(test)]
+        return [(decision_threshold(ALPHA, n, r, m), -decision_threshold(BETA / n, n, r, m)) for m in rates]
 
-    def _judge(self, request: Request, attempt: Attempt, event: api.AttemptEnded) -> None:
+    def _judge(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
         server = attempt.server
         test, build, failed, late = self.test, server.info.build, event.outcome is Outcome.ERROR, None
         settled = attempt.sent_at - server.info.started_at >= SETTLE  # a cold machine is slow
@@ -563,8 +575,8 @@
             return
         if settled and not failed:
             # Danger: machines of the trial build that are sent more than others are slower for that alone.
-            limit = min(LATE_AIMS * request.kind.aim, LATE_TIMES * self._usual(request))
-            late = event.elapsed > limit * attempt.crowding
+            limit = min(LATE_AIMS * request.kind.latency_objective, LATE_TIMES * self._usual(request))
+            late = event.elapsed > limit * attempt.relative_load
         row = self.rows.setdefault((build, request.kind.name), [0.0, 0.0, 0.0])
         row[:] = [row[0] * (1 - 1 / MEMORY) + 1, row[1] * (1 - 1 / MEMORY) + failed, row[2] + 1]
         if test is None or build > test.key[0] or request.judged:
@@ -577,10 +589,11 @@
             test.outcomes += 1
             facts = (failed, None, None if failed else False)  # lateness is judged in the step
             for k, (bad, stream) in enumerate(zip(facts, self._streams(test, request.kind.name))):
-                test.innovation[k] += evidence(bad, *stream) if bad is not None and stream else 0.0
-            blame = evidence(True, self._p0(test, request.kind.name), MARGIN) if failed else 0.0
+                if bad is not None and stream:
+                    test.innovation[k] += log_likelihood_ratio(bad, *stream)
+            blame = log_likelihood_ratio(True, self._p0(test, request.kind.name), MARGIN) if failed else 0.0
             test.failures += failed
-            self.shared.judged(server.start, failed, blame)
+            self.shared_health.judged(server.incarnation, failed, blame)
 
     def _disputed(self, event: api.AnswerDisputed) -> None:
         # Danger: a wrong answer counts as a good one when it comes; only a flag tells, and some flags err.
@@ -590,28 +603,28 @@
         self.flags[server.info.build] = self.flags.get(server.info.build, 0) + 1
         stream = self._streams(test)[2] if test else None
         if test and stream and server.info.build == test.key[0]:
-            test.innovation[2] += evidence(True, *stream) - evidence(False, *stream)
+            test.innovation[2] += log_likelihood_ratio(True, *stream) - log_likelihood_ratio(False, *stream)
 
-    def _hear(self, event: api.PeerMessage) -> None:
+    def _hear(self, event: api.GossipReceived) -> None:
         # Danger: a peer on another build or stage, or a mangled message, must not reach the score.
         test, (score, _, servers) = self.test, event.text.partition(" ")
-        if event.sender != partner(self.set.agent, self.agents, self.turn, self.turns):
+        if event.sender != exchange_partner(self.settings.agent, self.agents, self.turn, self.turns):
             return
-        self.shared.sums.hear(self.turn, servers)
-        told = Exchange.decode(score)
+        self.shared_health.sums.hear(self.turn, servers)
+        told = GossipMessage.decode(score)
         if test and told and (*test.key, self.turn & 0xFFFF) == (told.build, told.stage, told.turn):
             test.heard = told.numbers
 
     def _tick(self) -> None:
         self.actions.append(api.SetTimer(self.tick - self.now % self.tick, TICKS))
-        if self.set.must_subscribe and self.now >= self.ask_at:
-            self.ask_at = self.now + max(self.rules.ask_within, self.agents * APART)
-            self.actions.append(api.Subscribe())
-        test, me, last, self.turn = self.test, self.set.agent, self.turn, self.now // self.tick
+        if self.settings.needs_watch and self.now >= self.ask_at:
+            self.ask_at = self.now + max(self.rules.watch_renewal_period, self.agents * APART)
+            self.actions.append(api.WatchServerList())
+        test, me, last, self.turn = self.test, self.settings.agent, self.turn, self.now // self.tick
         if self.rollout is None:
             return
-        itself = partner(me, self.agents, last, self.turns) == me
-        self.shared.sums.turn_over(last, itself)
+        itself = exchange_partner(me, self.agents, last, self.turns) == me
+        self.shared_health.sums.turn_over(last, itself)
         # Danger: a silent partner freezes its term. Its half of the weight goes back to our own.
         if test and test.heard and last == self.turn - 1:
             test.mix = [(own + told) / 2 for own, told in zip(test.mix, test.heard)]
@@ -619,22 +632,23 @@
             met = test.heard is not None or itself
             test.heard, test.meets, test.turns = None, test.meets + met, test.turns + 1
         if self.turn % self.turns == 0:
-            self.shared.step(self.turns * self.tick)
-            avoided = self.shared.avoided([(s.start, s.info.zone) for s in self.fleet], self.random.random)
+            self.shared_health.step(self.turns * self.tick)
+            fleet = [(s.incarnation, s.info.zone) for s in self.fleet]
+            avoided = self.shared_health.avoided(fleet, self.random.random)
             for server in self.fleet:
-                server.errors_seen = self.shared.errors(server.start)
-                if server.start in avoided:
-                    server.shunned_until = max(server.shunned_until, self.now + self.turns * self.tick)
+                server.shared_error_rate = self.shared_health.errors(server.incarnation)
+                if server.incarnation in avoided:
+                    server.ejected_until = max(server.ejected_until, self.now + self.turns * self.tick)
             if test:
                 self._step(test, self.rollout)
-        if (peer := partner(me, self.agents, self.turn, self.turns)) != me and self.limits.peers:
-            text = Exchange(*test.key, self.turn, test.mix).encode() if test else ""
-            servers = self.shared.offer(self.turn, MESSAGE - 1 - len(text))
-            self.actions.append(api.TellPeer(peer, f"{text} {servers}"))
+        if (peer := exchange_partner(me, self.agents, self.turn, self.turns)) != me and self.limits.gossip:
+            text = GossipMessage(*test.key, self.turn, test.mix).encode() if test else ""
+            servers = self.shared_health.offer(self.turn, MESSAGE - 1 - len(text))
+            self.actions.append(api.SendGossip(peer, f"{text} {servers}"))
         if test:
             self._cast(test, self.rollout)
 
-    def _step(self, test: Test, rollout: api.Rollout) -> None:
+    def _step(self, test: SequentialTest, rollout: api.RolloutSettings) -> None:
         # Danger: an agent that met all its partners, most of them cut off, has no more behind its numbers.
         gone = test.turns - test.meets
         test.steps, test.missed, test.meets, test.turns = test.steps + 1, max(gone, test.mix[11]), 0, 0
@@ -642,7 +656,7 @@
         test.score, test.base, test.timed = test.mix[:3], test.mix[4:6], test.mix[6:10]
         test.count, test.carried = test.mix[3], test.mix[10]
         pool = self._pool(test)
-        alone = self.shared.excused(test.count * pool, test.mix[12] * pool, LEAST_POOLED) / pool
+        alone = self.shared_health.excused(test.count * pool, test.mix[12] * pool, LEAST_POOLED) / pool
         test.score[0] -= alone
         # Danger: held against a p0 of a moment ago, the onset of a shared slowdown speaks against the trial.
         fade = math.exp(-self.turns * self.tick / LATE_MEMORY)
@@ -657,7 +671,7 @@
             p0, margin = min(self.calm, 0.9 - LAST_MARGIN), LAST_MARGIN
             most = self.turns * self.tick / LAST_TIME
         if p0 is not None:
-            good, bad = (evidence(late, p0, margin) for late in (False, True))
+            good, bad = (log_likelihood_ratio(late, p0, margin) for late in (False, True))
             timed, tardy = test.timed[2:] if margin == LATE_MARGIN else (
                 test.timed[0] + test.timed[2], test.timed[1] + test.timed[3])
             gain = (timed - tardy) * good + tardy * bad
@@ -677,9 +691,9 @@
                     gone, poor]
         test.innovation, test.outcomes, test.failures, test.fresh = [0.0] * 3, 0, 0, [0.0] * 6
 
-    def _decide(self, test: Test, rollout: api.Rollout) -> None:
-        verdict, votes, trial = Verdict.NONE, rollout.control is api.Control.VOTES, test.key[1] >= 0
-        if not self._short() and self.now - test.since >= rollout.least_stage_time:
+    def _decide(self, test: SequentialTest, rollout: api.RolloutSettings) -> None:
+        verdict, votes, trial = Verdict.NONE, rollout.control is api.RolloutControl.VOTES, test.key[1] >= 0
+        if not self._short() and self.now - test.since >= rollout.min_stage_duration:
             if test.lean <= -1:
                 verdict = Verdict.BACK
             elif trial and (votes or test.lean < -0.5):  # no longer wait: a vote stands, waiting costs delay
@@ -687,13 +701,13 @@
         if verdict is not test.verdict:
             test.verdict, test.decided_at = verdict, self.now
 
-    def _cast(self, test: Test, desk: api.Rollout) -> None:
+    def _cast(self, test: SequentialTest, desk: api.RolloutSettings) -> None:
         last, verdict = (self.ballot if self.ballot and self.ballot.key == test.key else None), test.verdict
         stands, held = last.verdict if last else Verdict.NONE, last is not None and self.now < last.renew_at
         if (verdict is stands and held) or (verdict is Verdict.NONE and stands is not Verdict.HOLD):
             return
         # Danger: all agents see the same score, and the platform turns away what comes at once: take turns.
-        place = (self.set.agent + crc32(b"%d %d" % test.key)) % self.agents
+        place = (self.settings.agent + crc32(b"%d %d" % test.key)) % self.agents
         if self.now < test.decided_at + place * 1e6 / max(desk.votes_per_second * VOTES_USE, 1e-3):
             return
         if verdict is not stands and place < LOGGED:
@@ -701,6 +715,7 @@
             scores = ", ".join(f"{n * score:.2f} in {n * lower:.2f}..{n * upper:.2f}"
                                for score, (upper, lower) in zip(test.score, self._bands(test)))
             text = f"vote {verdict.name} build {test.key[0]} stage {test.key[1]}: failures, late, disputes"
-            self.actions.append(api.Log(f"{text} {scores}, {pooled:.0f} outcomes, p0 {p0:.3f}"))
+            self.actions.append(api.WriteLog(f"{text} {scores}, {pooled:.0f} outcomes, p0 {p0:.3f}"))
         self.actions.append(api.CastVote(test.key[0], max(test.key[1], 0), verdict))
-        self.ballot = Ballot(verdict, test.key, self.now + max(desk.vote_life * 3 // 4, desk.vote_timeout))
+        renew_at = self.now + max(desk.vote_lifetime * 3 // 4, desk.vote_timeout)
+        self.ballot = PendingVote(verdict, test.key, renew_at)
--- a/frostfall/protocol/entries.py
+++ b/frostfall/protocol/entries.py
@@ -42,12 +42,12 @@
     )
 
 
-def listed(listing: Listing, kind: api.ListKind) -> api.ServersListed:
+def listed(listing: Listing, kind: api.ServerListKind) -> api.ServerListUpdated:
     """A list or its changes."""
-    return api.ServersListed(kind, tuple(server(entry) for entry in listing.instances))
+    return api.ServerListUpdated(kind, tuple(server(entry) for entry in listing.instances))
 
 
-def load(text: str | None) -> api.Load | None:
+def load(text: str | None) -> api.LoadReport | None:
     """A load report; None where there is none."""
     if not text:
         return None
--- a/frostfall/protocol/news.py
+++ b/frostfall/protocol/news.py
@@ -11,10 +11,10 @@
 LISTEN, VERDICT, NEWS, PING = "listen", "verdict", "news", "ping"
 
 _PHASES = {
-    "canary": api.Phase.TRIAL,
-    "reverting": api.Phase.GOING_BACK,
-    "stable": api.Phase.RELEASED,
-    "reverted": api.Phase.WITHDRAWN,
+    "canary": api.RolloutPhase.TRIAL,
+    "reverting": api.RolloutPhase.ROLLING_BACK,
+    "stable": api.RolloutPhase.RELEASED,
+    "reverted": api.RolloutPhase.ROLLED_BACK,
 }
 _RULINGS = {
     api.Verdict.NONE: "WITHDRAW",
@@ -38,7 +38,7 @@
     old_ms: float
 
 
-def read(value: Any, reply: api.VoteReply) -> api.RolloutNews | str:
+def read(value: Any, reply: api.VoteReply) -> api.RolloutState | str:
     """A state in the project's terms, or what is wrong with it."""
     try:
         state = msgspec.convert(value, State)
@@ -48,7 +48,7 @@
         return f"unknown mode {state.mode!r} - at `$.mode`"
     if not 0 <= state.exposure <= 1:
         return f"{state.exposure} is no share - at `$.exposure`"
-    return api.RolloutNews(
+    return api.RolloutState(
         build=state.release,
         stage=state.tranche,
         phase=_PHASES[state.mode],
@@ -68,6 +68,6 @@
     return _REPLIES.get(message, api.VoteReply.ERROR)
 
 
-def without_state(action: api.CastVote, reply: api.VoteReply) -> api.RolloutNews:
+def without_state(action: api.CastVote, reply: api.VoteReply) -> api.RolloutState:
     """The reply to a vote that brought no state."""
-    return api.RolloutNews(action.build, action.stage, api.Phase.TRIAL, 0.0, 0, reply)
+    return api.RolloutState(action.build, action.stage, api.RolloutPhase.TRIAL, 0.0, 0, reply)
--- a/frostfall/settings.py
+++ b/frostfall/settings.py
@@ -15,8 +15,16 @@
 
 _T = TypeVar("_T")
 
-_EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
-_GROUPS = {"all": api.KeyGroup.ALL, "zone": api.KeyGroup.ZONE, "cell": api.KeyGroup.CELL}
+_EFFECTS = {
+    "safe": api.Idempotency.IDEMPOTENT,
+    "keyed": api.Idempotency.KEYED,
+    "unsafe": api.Idempotency.NON_IDEMPOTENT,
+}
+_GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
 
 
 class SettingsError(ValueError):
@@ -157,14 +165,14 @@
         classes=tuple(
             api.RequestClass(
                 name=grade.name,
-                effect=_known(_EFFECTS, grade.effect, "effect"),
-                key_group=_known(_GROUPS, grade.key_scope, "key scope"),
-                key_ttl=grade.key_ttl_us,
-                aim=grade.aim_us,
+                idempotency=_known(_EFFECTS, grade.effect, "effect"),
+                deduplication_scope=_known(_GROUPS, grade.key_scope, "key scope"),
+                deduplication_window=grade.key_ttl_us,
+                latency_objective=grade.aim_us,
                 deadline=grade.deadline_us,
-                worth=grade.credit,
-                late_worth=grade.late_worth,
-                aim_stretch=grade.aim_stretch,
+                priority_weight=grade.credit,
+                late_priority_weight=grade.late_worth,
+                latency_objective_stretch=grade.aim_stretch,
                 stream=grade.stream,
             )
             for grade in raw.grades
@@ -175,67 +183,67 @@
             max_attempts=bounds.max_attempts,
             parallel_attempts=bounds.parallel_tries,
             may_cancel=bounds.may_cancel,
-            probes=bounds.probes,
-            peers=bounds.peers,
+            health_checks=bounds.probes,
+            gossip=bounds.peers,
             retry_after=bounds.retry_after,
             max_retry_after=bounds.max_retry_after_us,
             connect_timeout=bounds.connect_timeout_us,
-            connection_idle=bounds.conn_idle_us,
+            connection_idle_timeout=bounds.conn_idle_us,
         ),
         rules=api.Rules(
             answer_slack=rules.grace_to_answer_us,
             drain_grace=rules.stop_sending_within_us,
-            ask_within=rules.ask_every_us,
-            cold_share=rules.cold_from,
-            warm_up=rules.warm_up_us,
-            fall_multiple=rules.fall_multiple,
-            fall_window=rules.fall_us,
+            watch_renewal_period=rules.ask_every_us,
+            warm_up_initial_share=rules.cold_from,
+            warm_up_duration=rules.warm_up_us,
+            overload_multiple=rules.fall_multiple,
+            overload_window=rules.fall_us,
         ),
         prices=api.Prices(prices.cross_zone, prices.waste, prices.probe, prices.peer, prices.late_fail),
-        must_subscribe=raw.discovery == "subscribe",
-        load_by_probe=raw.report.how == "on_probe",
-        over_share_worth=raw.over_share_worth,
+        needs_watch=raw.discovery == "subscribe",
+        load_by_health_check=raw.report.how == "on_probe",
+        over_quota_priority_weight=raw.over_share_worth,
     )
 
 
-def _rollout(info: _FamilyInfo) -> api.Rollout:
-    return api.Rollout(
-        control=api.Control.AUTOMATIC if info.control == "automatic" else api.Control.VOTES,
+def _rollout(info: _FamilyInfo) -> api.RolloutSettings:
+    return api.RolloutSettings(
+        control=api.RolloutControl.AUTOMATIC if info.control == "automatic" else api.RolloutControl.VOTES,
         stage_caps=tuple(info.caps),
         stage_shares=tuple(info.rings),
-        window=info.window_us,
-        free_attempts=info.uncounted,
-        per_class=info.per == "each_class",
-        closed_stages=info.closed_stages,
-        one_way=info.one_way,
+        exposure_window=info.window_us,
+        uncounted_attempts=info.uncounted,
+        exposure_per_class=info.per == "each_class",
+        idempotent_only_stages=info.closed_stages,
+        forward_only_keys=info.one_way,
         keeps_old_servers=info.swap != "replace",
-        least_stage_time=info.min_dwell_us,
-        stage_time=info.step_us,
-        on_votes=info.ayes_needed,
-        back_votes=info.back_votes,
+        min_stage_duration=info.min_dwell_us,
+        stage_duration=info.step_us,
+        advance_votes=info.ayes_needed,
+        rollback_votes=info.back_votes,
         hold_votes=info.to_pause,
-        vote_life=info.ballot_ttl_us,
+        vote_lifetime=info.ballot_ttl_us,
         vote_timeout=info.api_timeout_us,
         votes_per_second=info.calls_per_s,
-        news_period=info.repeat_every_us,
+        state_period=info.repeat_every_us,
         tally_period=info.sums_every_us,
-        tally_sample=info.sample,
-        flag_share=info.flag_share,
+        tally_sample_rate=info.sample,
+        dispute_report_share=info.flag_share,
         delay_price=info.delay_price,
         harm_price=info.blast_price,
-        warm_keys=info.warm_keys,
+        key_affinity=info.warm_keys,
     )
 
 
-def load(report: dict[str, float] | None) -> api.Load | None:
+def load(report: dict[str, float] | None) -> api.LoadReport | None:
     """A load report in the project's terms."""
     if not report:
         return None
     known = {name: value for name, value in report.items() if math.isfinite(value) and value >= 0}
-    return api.Load(
-        held=known.get("busy_reqs"),
+    return api.LoadReport(
+        in_flight=known.get("busy_reqs"),
         queued=known.get("pending"),
         cpu=known.get("cpu_share"),
-        service_ms=known.get("svc_ms"),
-        served_per_s=known.get("served_ps"),
+        service_time_ms=known.get("svc_ms"),
+        served_per_second=known.get("served_ps"),
     )
--- a/frostfall/state.py
+++ b/frostfall/state.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Test:
+class SequentialTest:
     """The consensus+innovations SPRT of one build at one stage; a new one starts from zero."""
 
     key: tuple[int, int]
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Exchange:
+class GossipMessage:
     """What two agents tell each other in a turn, and its form on the way."""
 
     build: int
@@ -57,7 +57,7 @@
         return b85encode(LAYOUT.pack(self.build, self.stage, self.turn & 0xFFFF, *bounded)).decode()
 
     @classmethod
-    def decode(cls, text: str) -> Exchange | None:
+    def decode(cls, text: str) -> GossipMessage | None:
         """The same again, or None where the text is none of ours."""
         try:
             build, stage, turn, *numbers = LAYOUT.unpack(b85decode(text))
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Ballot:
+class PendingVote:
     """The vote that was cast last."""
 
     verdict: Verdict
@@ -77,27 +77,27 @@
 
 
 @dataclass(slots=True)
-class Known:
+class ServerState:
     """A server as this agent sees it; a new start or build makes a new one."""
 
     info: api.Server
     rank: float = 0.0  # its place in this agent's own order of servers
-    out: dict[tuple[str, int], int] = field(default_factory=dict)  # attempts out, by send time
-    others: float = 0.0  # what the other agents have there, by its reports
-    told_at: int = 0  # when it last reported
-    slow: float = 1.0  # answer times against the fleet's
-    errors: float = 0.0  # recent share of errors
+    in_flight: dict[tuple[str, int], int] = field(default_factory=dict)  # attempts out, by send time
+    others_in_flight: float = 0.0  # what the other agents have there, by its reports
+    reported_at: int = 0  # when it last reported
+    slowness: float = 1.0  # answer times against the fleet's
+    error_rate: float = 0.0  # recent share of errors
     learned_at: int = 0  # when the last outcome told of these
-    shunned_until: int = 0
-    shun: int = 0  # the length of the last pause
+    ejected_until: int = 0
+    ejection_pause: int = 0  # the length of the last pause
     heard_at: int = 0
-    probed_at: int = 0
-    credit: float = 0.0  # sends that the cold budget allowed when it was last reckoned
-    credit_at: int = 0
-    errors_seen: float = 0.0  # recent share of failures by what all agents saw
+    checked_at: int = 0
+    warm_up_credit: float = 0.0  # sends that the cold budget allowed when it was last reckoned
+    credit_updated_at: int = 0
+    shared_error_rate: float = 0.0  # recent share of failures by what all agents saw
 
     @property
-    def start(self) -> tuple[int, int]:
+    def incarnation(self) -> tuple[int, int]:
         """Its name together with its start: after a restart it is another."""
         return self.info.id, self.info.started_at
 
@@ -106,9 +106,9 @@
 class Attempt:
     """One attempt; `server` is the entry that it was sent by."""
 
-    server: Known
+    server: ServerState
     sent_at: int
-    crowding: float = 1.0  # how much more the server had to do than others when it was sent
+    relative_load: float = 1.0  # how much more the server had to do than others when it was sent
     outcome: Outcome | None = None
 
     @property
@@ -118,13 +118,13 @@
 
 
 @dataclass(slots=True)
-class Request:
+class PendingRequest:
     """A request taken and not yet forgotten."""
 
-    event: api.RequestArrived
+    arrival: api.RequestArrived
     kind: api.RequestClass
     arrived_at: int
-    group: str = ""  # what the cap on exposure counts it with
+    exposure_group: str = ""  # what the cap on exposure counts it with
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
     streaming: bool = False
--- a/frostfall/wirehost/codec.py
+++ b/frostfall/wirehost/codec.py
@@ -20,10 +20,10 @@
     "removed": api.Availability.REMOVED,
 }
 _LIST_KINDS = {
-    "disk": api.ListKind.REMEMBERED,
-    "snapshot": api.ListKind.COMPLETE,
-    "diff": api.ListKind.CHANGES,
-    "error": api.ListKind.FAILED,
+    "disk": api.ServerListKind.CACHED,
+    "snapshot": api.ServerListKind.COMPLETE,
+    "diff": api.ServerListKind.DELTA,
+    "error": api.ServerListKind.FAILED,
 }
 _OUTCOMES = {
     "success": api.Outcome.SUCCESS,
@@ -35,7 +35,12 @@
     "withdrawn": api.Outcome.CANCELLED,
     "void": api.Outcome.NEVER_SENT,
 }
-_PHASES = (api.Phase.TRIAL, api.Phase.GOING_BACK, api.Phase.RELEASED, api.Phase.WITHDRAWN)
+_PHASES = (
+    api.RolloutPhase.TRIAL,
+    api.RolloutPhase.ROLLING_BACK,
+    api.RolloutPhase.RELEASED,
+    api.RolloutPhase.ROLLED_BACK,
+)
 _REPLIES = {
     "success": api.VoteReply.COUNTED,
     "void": api.VoteReply.VOID,
@@ -90,7 +95,7 @@
                 class_name=message.cls,
                 deadline=message.give_up_at_us,
                 key=message.target_key,
-                hint=message.estimate_us,
+                service_time_hint=message.estimate_us,
                 tenant=message.org if isinstance(message.org, str) else None,
                 is_retry=message.repeat,
             )
@@ -107,19 +112,19 @@
         case wire.Reminder():
             return api.TimerFired(message.ref)
         case wire.NoteFrom():
-            return api.PeerMessage(message.sender, message.payload)
+            return api.GossipReceived(message.sender, message.payload)
         case wire.View():
             kind = _name(_LIST_KINDS, message.kind, "kind of view")
-            if kind is api.ListKind.FAILED:
-                return api.ServersListed(kind, ())
+            if kind is api.ServerListKind.FAILED:
+                return api.ServerListUpdated(kind, ())
             if message.bank not in banks:
                 raise WireError(f"view names bank {message.bank}, which no roster has set up")
-            return api.ServersListed(kind, banks[message.bank])
+            return api.ServerListUpdated(kind, banks[message.bank])
         case wire.StepNews():
             if not 0 <= message.progress < len(_PHASES):
                 raise WireError(f"unknown progress {message.progress}")
             reply = _name(_REPLIES, message.ending, "ending")
-            return api.RolloutNews(
+            return api.RolloutState(
                 build=message.image,
                 stage=message.stage,
                 phase=_PHASES[message.progress],
@@ -128,7 +133,7 @@
                 reply=reply if message.mark else api.VoteReply.NONE,
             )
         case wire.Pong():
-            return api.ProbeEnded(
+            return api.HealthCheckEnded(
                 server=message.appliance,
                 outcome=_name(_OUTCOMES, message.ending, "ending"),
                 elapsed=message.cost_time_us,
@@ -148,7 +153,7 @@
         case wire.Flowing():
             return api.StreamStarted(message.corr, message.hop)
         case wire.ClientGone():
-            return api.ClientLeft(message.corr)
+            return api.ClientDisconnected(message.corr)
 
 
 def encode_action(agent: int, action: api.Action) -> bytes:
@@ -163,18 +168,18 @@
             return fields | ({"maxWaitUs": action.timeout} if action.timeout else {})
         case api.CancelAttempt():
             return {"verb": "abandon", "corr": action.request, "hop": action.attempt}
-        case api.Refuse():
+        case api.RejectRequest():
             fields = {"verb": "notNow", "corr": action.request}
             return fields | ({"comeBackUs": action.retry_after} if action.retry_after else {})
-        case api.Fail():
+        case api.FailRequest():
             return {"verb": "fail", "corr": action.request}
         case api.SetTimer():
             return {"verb": "setTimer", "delayUs": action.delay, "ref": action.token}
-        case api.ProbeServer():
+        case api.CheckServerHealth():
             return {"verb": "ping", "appliance": action.server}
-        case api.TellPeer():
+        case api.SendGossip():
             return {"verb": "memoTo", "target": action.peer, "payload": action.text}
-        case api.Subscribe():
+        case api.WatchServerList():
             return {"verb": "keepInformed", "active": True}
         case api.CastVote():
             return {
@@ -183,5 +188,5 @@
                 "mark": _VERDICTS[action.verdict],
                 "stage": action.stage,
             }
-        case api.Log():
+        case api.WriteLog():
             return {"verb": "noteDown", "what": action.text}
--- a/frostfall/wirehost/host.py
+++ b/frostfall/wirehost/host.py
@@ -5,7 +5,7 @@
 from typing import BinaryIO, TextIO
 
 from frostfall import interface as api
-from frostfall.brain import Brain
+from frostfall.policy.engine import PolicyEngine
 from frostfall.settings import SettingsError, decode
 from frostfall.wirehost import codec
 from frostfall.wirehost import messages as wire
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         """Start with no instance and no list."""
-        self._brains: dict[int, Brain] = {}
+        self._brains: dict[int, PolicyEngine] = {}
         self._banks: dict[int, tuple[api.Server, ...]] = {}
 
     def handle(self, now: int, message: wire.Line) -> list[bytes]:
@@ -28,7 +28,7 @@
                 self._banks[message.bank] = codec.servers(message.nodes_list)
                 return []
             case wire.Enlist():
-                brain = Brain(decode(message.conf), message.seed)
+                brain = PolicyEngine(decode(message.conf), message.seed)
                 self._brains[message.agent] = brain
                 actions = brain.start(now)
             case wire.Detach():
