--- /dev/null
+++ b/tests/test_golden_wire.py
@@ -0,0 +1,267 @@
+"""What goes over wires, byte by byte: golden data in tests/fixtures/wire, compared by position and by value.
+
+Messages of one array are built here by the names of their fields: two fields of one type that changed places
+would decode and encode to the same bytes. All other data is compared without names.
+"""
+
+from __future__ import annotations
+
+import io
+import json
+import typing
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from frostfall import interface as api
+from frostfall.agreement import log, raft, register
+from frostfall.knowledge import pushsum
+from frostfall.protocol import entries, group, listing, news, pg, pg_client, pg_server, rpc
+from frostfall.state import Exchange
+from frostfall.wirehost import codec, host, messages
+from tests.golden import plain, variant
+
+FOLDER = Path(__file__).parent / "fixtures" / "wire"
+
+PUT = register.Put(key="k", value={"v": [1, None]}, version=2, who="n1", number=3)
+CELL = register.Cell(value="v", version=4)
+ENTRY = log.Entry(term=5, command=msgspec.to_builtins(PUT), voters=("n0", "n1"))
+SNAPSHOT = log.Snapshot(index=6, term=7, voters=("n2",), state=[{"k": msgspec.to_builtins(CELL)}, {}])
+EXCHANGE = Exchange(build=41, stage=-1, turn=700, numbers=[each / 4 for each in range(-3, 0)] + [0.5] * 10)
+FRAMED = "copied"
+
+MESSAGES: dict[str, Any] = {
+    "beat": group.Beat(
+        name="n0",
+        incarnation=1,
+        batch=2,
+        token="t0",
+        wall=3.5,
+        stage="ready",
+        doubt="d",
+        last=(4, 5, "t1"),
+        kept=(6, 7, "t2"),
+        live=True,
+        outdated="o",
+        number=8,
+        list=9,
+        gone_back=10,
+        word=(11, "w"),
+        kept_word=(12, "v"),
+    ),
+    "ask": group.Ask(number=1, names=["a", "b"], sender="n0", token="t"),
+    "tell": group.Tell(number=1, told=[("served", b"\1"), ("never", None)], token="t", lives={"n1": "t1"}),
+    "copy": group.Copy(number=1, owner="n0", state=2, name="a", answer=b"\2", token="t"),
+    "copied": group.Copied(number=1, refused=True, token="t", kept=False),
+    "read": group.Read(number=1, owner="n0", name="a", fence=True, sender="n1", token="t"),
+    "compare": group.Compare(
+        number=1, owner="n0", fences=True, what=2, depth=3, asked=[4, 5], sender="n1", token="t", session=6
+    ),
+    "compared": group.Compared(number=1, sure=True, token="t", data=b"\3", items=[(2, "a", b"\4", 5)]),
+    "agree": group.Agree(sender="n0", word=b"\5"),
+    "want": group.Want(number=1),
+    "have": group.Have(number=1, listing=[2, {"a": None}]),
+    "order": group.Order(number=1, what="put", who="op", key="k", value="v"),
+    "report": group.Report(number=1, fields={"name": "n0", "age": 2.5, "none": None}),
+    "vote?": raft.AskVote(term=1, last=2, last_term=3, pre=True),
+    "vote": raft.Vote(term=1, granted=True, pre=False),
+    "append": raft.Append(term=1, before=2, before_term=3, entries=[ENTRY, log.Entry(term=4)], commit=5),
+    "appended": raft.Appended(term=1, good=True, last=2),
+    "install": raft.Install(term=1, snapshot=SNAPSHOT),
+    "hard": raft.Hard(term=1, vote="n0"),
+} | {"put": PUT, "cell": CELL, "entry": ENTRY, "snapshot": SNAPSHOT}
+LISTED = listing.Listing | listing.CallFailed
+UNIONS = (group.Message, raft.Word)  # all of whose types have to stand above
+
+
+def voted(verdict: int) -> api.CastVote:
+    return api.CastVote(build=1, stage=2, verdict=api.Verdict(verdict))
+
+
+ACTIONS: list[api.Action] = [
+    *(api.SendAttempt(request="r", server=2, timeout=timeout) for timeout in (3, 0)),
+    api.CancelAttempt(request="r", attempt=2),
+    *(api.Refuse(request="r", retry_after=after) for after in (2, 0)),
+    api.Fail(request="r"),
+    api.SetTimer(delay=1, token="t"),
+    api.ProbeServer(server=1),
+    api.TellPeer(peer=1, text="x"),
+    api.Subscribe(),
+    *(voted(verdict) for verdict in (1, 2, 3, 4)),
+    api.Log(text="x"),
+]
+
+
+def linked(own: str, dialled: bool) -> group.Wire:
+    """One end of a link between members, which has heard the other end's random bytes."""
+    wire = group.Wire("a key of the group", dialled, own.encode() * group.NONCE)
+    wire.feed((b"b" if own == "a" else b"a") * group.NONCE)
+    return wire
+
+
+def server_side(stream: str) -> list[Any]:
+    """What a client's bytes mean to an agent, which answers each query at once."""
+    side, events = pg_server.ServerSide(), []
+    side.feed(bytes.fromhex(stream))
+    while (event := side.next_event()) is not None:
+        events.append(variant(pg_server.Event, event))
+        side.answered()
+    return events
+
+
+def client_side(streams: list[str]) -> list[Any]:
+    """Where an agent's connection to an appliance stands after each piece; a query after the first."""
+    side, seen = pg_client.ClientSide("u", "d"), []
+    seen.append(side.opening.hex())
+    for place, stream in enumerate(streams):
+        if place == 1:
+            seen.append(side.ask(b"SELECT 1").hex())
+        side.feed(bytes.fromhex(stream))
+        seen.append([plain(side.state), variant(pg_client.Answer, side.answer), side.load, side.reusable])
+    return seen
+
+
+def rpc_lines(text: str) -> list[Any]:
+    """The meanings of lines from the platform."""
+    lines, found = rpc.Lines(), []
+    lines.feed(text.encode())
+    while (message := lines.next_message()) is not None:
+        found.append(variant(rpc.Incoming, message))
+    return found
+
+
+def watched(parts: list[str]) -> list[Any]:
+    """Discovery's answers to calls on one connection, the second for changes only."""
+    watch, seen = listing.Watch("127.0.0.1:8500"), []
+    for since, part in zip((None, 41, 42), parts):
+        seen.append(watch.call(since, 20_000).decode())
+        seen += [variant(LISTED, watch.feed(part.encode())), watch.reusable]
+    return seen
+
+
+def serve(lines: str) -> str:
+    """The simulator's lines out for its lines in."""
+    out = io.BytesIO()
+    host.serve(io.BytesIO(lines.encode()), out)
+    return out.getvalue().decode()
+
+
+def event(line: str) -> Any:
+    """One line of the simulator in the project's terms."""
+    bank = codec.servers(msgspec.json.decode(NODES, type=list[messages.Node]))
+    return variant(api.Event, codec.event(codec.decode_line(line.encode()), {3: bank}))
+
+
+def listed(text: str, kind: int) -> Any:
+    """A list's entries in the project's terms."""
+    return plain(entries.listed(listing.decode(text.encode()), api.ListKind(kind)))
+
+
+NODES = """[{"appliance":11,"edition":2,"size":1.5,"cell":3,"rackZone":"a","readyAtUs":4,"availability":"up"},
+ {"appliance":12,"availability":"draining"},{"appliance":13,"availability":"removed"}]"""
+CASES: dict[str, Callable[..., Any]] = {  # by the name in cases.jsonl, whose lines give arguments and result
+    "pg startup": lambda user, database: pg.startup(user=user, database=database).hex(),
+    "pg parameter": lambda *told: pg.parameter_status(*told).hex(),
+    "pg error": lambda *told: pg.error_response(*told).hex(),
+    "pg error fields": lambda payload: pg.error_fields(bytes.fromhex(payload)),
+    "pg constants": lambda: plain([pg.READY, pg.TERMINATE, pg_server.WELCOME, pg_server.EMPTY]),
+    "pg refused": lambda after: pg_server.refused(after).hex(),
+    "pg failed": lambda: pg_server.failed().hex(),
+    "pg server side": server_side,
+    "pg client side": client_side,
+    "rpc call": lambda *told: rpc.call(*told).decode(),
+    "rpc lines": rpc_lines,
+    "rpc constants": lambda: [news.LISTEN, news.VERDICT, news.NEWS, news.PING],
+    "news state": lambda state, reply: plain(news.read(state, api.VoteReply(reply))),
+    "news vote": lambda verdict: news.vote(voted(verdict)),
+    "news error": lambda message: plain(news.reply_to_error(message)),
+    "news without state": lambda reply: plain(news.without_state(voted(3), api.VoteReply(reply))),
+    "discovery list": lambda text: variant(LISTED, listing.decode(text.encode())),
+    "discovery entries": listed,
+    "discovery calls": watched,
+    "server number": entries.server_id,
+    "load report": lambda text: plain(entries.load(text)),
+    "pushsum key": lambda *parts: pushsum.key_of(*parts).hex(),
+    "pushsum level": pushsum.level,
+    "pushsum list": lambda turn, told, room: pushsum.encode(
+        turn, [(bytes.fromhex(key), tuple(numbers)) for key, numbers in told], room
+    ),
+    "pushsum text": lambda text: plain(pushsum.decode(text)),
+    "exchange text": lambda text: plain(Exchange.decode(text)),
+    "simulator event": event,
+}
+
+
+def read(name: str) -> list[Any]:
+    return [json.loads(line) for line in (FOLDER / name).read_text(encoding="utf-8").splitlines()]
+
+
+@pytest.mark.parametrize(("name", "golden"), read("messages.jsonl"))
+def test_a_message_of_an_array_has_its_golden_bytes_both_ways(name: str, golden: str) -> None:
+    message, data = MESSAGES[name], bytes.fromhex(golden)
+    union = next((union for union in UNIONS if type(message) in typing.get_args(union)), type(message))
+    assert msgspec.msgpack.encode(message).hex() == golden
+    decoded = msgspec.msgpack.decode(data, type=union)
+    assert decoded == message and type(decoded) is type(message)
+    assert msgspec.msgpack.encode(decoded) == data
+
+
+def test_every_message_has_golden_bytes() -> None:
+    assert [name for name, _ in read("messages.jsonl")] == list(MESSAGES)
+    built = {type(message) for message in MESSAGES.values()}
+    assert all(set(typing.get_args(union)) <= built for union in UNIONS)
+
+
+@pytest.mark.parametrize(("sender", "dialled", "golden"), read("frames.jsonl"))
+def test_frames_between_members_are_golden_both_ways(sender: str, dialled: bool, golden: list[str]) -> None:
+    here, there = linked(sender, dialled), linked("b" if sender == "a" else "a", not dialled)
+    message = MESSAGES[FRAMED]
+    assert [here.frame(message).hex() for _ in golden] == golden
+    assert there.feed(bytes.fromhex("".join(golden))) == [message] * len(golden)
+
+
+def test_the_exchange_is_a_golden_text_both_ways() -> None:
+    (golden,) = read("exchange.jsonl")
+    assert EXCHANGE.encode() == golden
+    assert Exchange.decode(golden) == EXCHANGE
+
+
+@pytest.mark.parametrize(("name", "told", "golden"), read("cases.jsonl"))
+def test_a_case_gives_its_golden_values(name: str, told: list[Any], golden: Any) -> None:
+    got = CASES[name](*told)
+    assert got == golden
+    assert json.dumps(got) == json.dumps(golden)  # also the order of keys, and 1 is not 1.0 or true
+
+
+def test_every_case_is_played() -> None:
+    assert {name for name, _, _ in read("cases.jsonl")} == set(CASES)
+
+
+@pytest.mark.parametrize(
+    "text",
+    [told[0] for name, told, golden in read("cases.jsonl") if name == "discovery list" and golden[0] == 0],
+)
+def test_a_list_is_encoded_again_as_it_came(text: str) -> None:
+    assert msgspec.json.encode(listing.decode(text.encode())).decode() == text
+
+
+def test_the_simulators_actions_are_golden_lines() -> None:
+    lines = [codec.encode_action(7, action).decode() for action in ACTIONS]
+    assert lines == (FOLDER / "actions.jsonl").read_text(encoding="utf-8").splitlines()
+    assert {type(action) for action in ACTIONS} == set(typing.get_args(api.Action))
+
+
+def test_the_simulators_lines_in_give_the_golden_lines_out() -> None:
+    told = (FOLDER / "simulator_in.jsonl").read_text(encoding="utf-8")
+    assert serve(told) == (FOLDER / "simulator_out.jsonl").read_text(encoding="utf-8")
+    verbs = {each.__struct_config__.tag for each in typing.get_args(messages.Line)}
+    assert {json.loads(line)["verb"] for line in told.splitlines()} == verbs
+
+
+@pytest.mark.parametrize("line", {line["verb"]: line for line in read("simulator_in.jsonl")}.values())
+def test_a_line_of_the_simulator_is_encoded_again_with_the_same_keys(line: dict[str, Any]) -> None:
+    again = json.loads(msgspec.json.encode(codec.decode_line(json.dumps(line).encode())))
+    assert {key: again.get(key) for key in line} == line
