--- a/frostfall/limits/budget.py
+++ b/frostfall/limits/buffer_budget.py
@@ -15,20 +15,20 @@
 
 import msgspec
 
-from frostfall.limits.ranking import Ranking
+from frostfall.limits.indexed_heap import IndexedHeap
 
-Name = TypeVar("Name", bound=Hashable)
+Key = TypeVar("Key", bound=Hashable)
 
 
-class Scope(Enum):
+class BufferScope(Enum):
     """Which of the limits is passed; the value is the name of its setting."""
 
-    READER = "reader_bytes"
+    CLIENT = "reader_bytes"
     SOURCE = "source_bytes"
-    ALL = "all_bytes"
+    TOTAL = "all_bytes"
 
 
-class Allowance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class BufferLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How many bytes may wait. ValueError where the figures do not go together."""
 
     reader_bytes: int = 256 * 1024
@@ -59,90 +59,94 @@
     pace: float | None = None  # bytes a second, once it has been looked at
 
 
-class Budget(Generic[Name]):
+class BufferBudget(Generic[Key]):
     """The accounts of all readers; each call takes O(log n) steps in those that something waits for.
 
     A reader for which nothing waits has no account: most never get one.
     """
 
-    def __init__(self, allowance: Allowance) -> None:
+    def __init__(self, limits: BufferLimits) -> None:
         """With nothing waiting."""
-        self.allowance = allowance
-        self.waiting = 0  # bytes, for all
-        self._accounts: dict[Name, _Account] = {}
-        self._sources: dict[str, Ranking[Name]] = {}
+        self.limits = limits
+        self.buffered_bytes = 0  # bytes, for all
+        self._accounts: dict[Key, _Account] = {}
+        self._sources: dict[str, IndexedHeap[Key]] = {}
         self._by_source: dict[str, int] = {}
-        self._ranking: Ranking[Name] = Ranking()
+        self._ranking: IndexedHeap[Key] = IndexedHeap()
 
     def __len__(self) -> int:
         """How many readers something waits for."""
         return len(self._accounts)
 
-    def of(self, name: Name) -> int:
+    def buffered_for(self, key: Key) -> int:
         """The bytes that wait for one reader."""
-        account = self._accounts.get(name)
+        account = self._accounts.get(key)
         return account.waiting if account else 0
 
-    def of_source(self, source: str) -> int:
+    def buffered_for_source(self, source: str) -> int:
         """The bytes that wait for the readers of one source address."""
         return self._by_source.get(source, 0)
 
-    def hold(self, name: Name, source: str, waiting: int, pace: float | None) -> None:
+    def update(self, key: Key, source: str, buffered_bytes: int, throughput: float | None) -> None:
         """So many bytes wait for this reader now, and it takes so many a second (None: not looked at)."""
-        if waiting <= 0:
-            self.release(name)
+        if buffered_bytes <= 0:
+            self.release(key)
             return
-        account = self._accounts.get(name)
+        account = self._accounts.get(key)
         if account is None:
-            account = self._accounts[name] = _Account(source)
-            self._sources.setdefault(source, Ranking())
-        more = waiting - account.waiting
-        account.waiting = waiting
-        pace = account.pace = account.pace if pace is None else pace
-        self.waiting += more
+            account = self._accounts[key] = _Account(source)
+            self._sources.setdefault(source, IndexedHeap())
+        more = buffered_bytes - account.waiting
+        account.waiting = buffered_bytes
+        throughput = account.pace = account.pace if throughput is None else throughput
+        self.buffered_bytes += more
         self._by_source[account.source] = self._by_source.get(account.source, 0) + more
         # Danger: by the exact amount alone, the one that goes is whoever happens to have a byte more.
         # Nor may it be one that has had no time to take them, while others had and did not.
-        rank = (float(pace is not None), float(waiting // self.allowance.grain_bytes), -(pace or 0.0))
+        rank = (
+            float(throughput is not None),
+            float(buffered_bytes // self.limits.grain_bytes),
+            -(throughput or 0.0),
+        )
         for ranking in (self._ranking, self._sources[account.source]):
-            if pace is not None and pace >= self.allowance.fast:
-                ranking.drop(name)
+            if throughput is not None and throughput >= self.limits.fast:
+                ranking.discard(key)
             else:
-                ranking.put(name, rank)
+                ranking.put(key, rank)
 
-    def release(self, name: Name) -> None:
+    def release(self, key: Key) -> None:
         """Nothing waits for this reader any more."""
-        account = self._accounts.pop(name, None)
+        account = self._accounts.pop(key, None)
         if account is None:
             return
-        self.waiting -= account.waiting
-        self._ranking.drop(name)
-        self._sources[account.source].drop(name)
+        self.buffered_bytes -= account.waiting
+        self._ranking.discard(key)
+        self._sources[account.source].discard(key)
         self._by_source[account.source] -= account.waiting
         if not self._by_source[account.source]:
             del self._by_source[account.source], self._sources[account.source]
 
-    def excess(self, name: Name) -> tuple[Scope, Name] | None:
+    def find_eviction(self, key: Key) -> tuple[BufferScope, Key] | None:
         """Who has to leave, and why, after this account has changed; None where all is within limits.
 
         The caller closes that one, which releases its account, and asks again. None too where only fast
         readers hold more than the limit: they go on, and their callers hold back new work (`full`).
         """
-        account = self._accounts.get(name)
+        account = self._accounts.get(key)
         if account is None:
             return None
-        if account.waiting > self.allowance.reader_bytes and (account.pace or 0.0) < self.allowance.fast:
-            return Scope.READER, name
+        if account.waiting > self.limits.reader_bytes and (account.pace or 0.0) < self.limits.fast:
+            return BufferScope.CLIENT, key
         if (
-            self._by_source[account.source] > self.allowance.source_bytes
+            self._by_source[account.source] > self.limits.source_bytes
             and (chosen := self._sources[account.source].first) is not None
         ):
-            return Scope.SOURCE, chosen
-        if self.waiting > self.allowance.all_bytes and (chosen := self._ranking.first) is not None:
-            return Scope.ALL, chosen
+            return BufferScope.SOURCE, chosen
+        if self.buffered_bytes > self.limits.all_bytes and (chosen := self._ranking.first) is not None:
+            return BufferScope.TOTAL, chosen
         return None
 
     @property
-    def full(self) -> bool:
+    def saturated(self) -> bool:
         """Whether no more should be made to wait: only readers that move fast are left to hold it."""
-        return self.waiting > self.allowance.all_bytes and not len(self._ranking)
+        return self.buffered_bytes > self.limits.all_bytes and not len(self._ranking)
--- a/frostfall/limits/turns.py
+++ b/frostfall/limits/fair_scheduling.py
@@ -25,10 +25,10 @@
                 raise ValueError(f"{key}: {getattr(self, key)} is not above 0")
 
 
-TRACE = 1e-6  # of a token, and seconds
+EPSILON = 1e-6  # of a token, and seconds
 
 
-class Arrivals(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ArrivalRate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How fast new connections are taken in; the rest wait in the kernel. ValueError where out of range."""
 
     rate: float  # a second
@@ -42,7 +42,7 @@
             raise ValueError(f"burst: {self.burst} is not above 0")
 
 
-class Pace:
+class ArrivalPacer:
     """A token bucket for arrivals: a crowd does not hold up those that are already there."""
 
     def __init__(self) -> None:
@@ -50,21 +50,21 @@
         self._tokens = math.inf
         self._at = 0.0
 
-    def take(self, now: float, rule: Arrivals | None) -> float:
+    def take(self, now: float, limit: ArrivalRate | None) -> float:
         """Take a token at this time, in seconds; how long to wait for it, 0 if it was there."""
-        if rule is None:
+        if limit is None:
             self._tokens = math.inf
             return 0.0
-        self._tokens = min(self._tokens + max(now - self._at, 0.0) * rule.rate, rule.burst)
+        self._tokens = min(self._tokens + max(now - self._at, 0.0) * limit.rate, limit.burst)
         self._at = now
         # Danger: by rounding, a token may lack a trace for ever where the clock is read coarsely.
-        if self._tokens < 1 - TRACE:
-            return max((1 - self._tokens) / rule.rate, TRACE)
+        if self._tokens < 1 - EPSILON:
+            return max((1 - self._tokens) / limit.rate, EPSILON)
         self._tokens -= 1
         return 0.0
 
 
-class Turns:
+class DeficitCounter:
     """The credit of one connection."""
 
     __slots__ = ("_credit", "_messages", "_quantum")
@@ -75,17 +75,17 @@
         self._credit = 0
         self._messages = 0
 
-    def begin(self) -> None:
+    def begin_turn(self) -> None:
         """A turn begins. What was left of the last one is not saved up; what it lacked is."""
         self._credit = min(self._credit, 0) + self._quantum.size
         self._messages = self._quantum.messages
 
-    def spend(self, size: int) -> None:
+    def charge(self, size: int) -> None:
         """One message of so many bytes has been handled."""
         self._credit -= size
         self._messages -= 1
 
     @property
-    def left(self) -> bool:
+    def may_continue(self) -> bool:
         """Whether this turn may go on."""
         return self._credit > 0 and self._messages > 0
--- a/frostfall/limits/ranking.py
+++ b/frostfall/limits/indexed_heap.py
@@ -11,19 +11,19 @@
 from collections.abc import Hashable, Iterator
 from typing import Generic, TypeVar
 
-Name = TypeVar("Name", bound=Hashable)
-Rank = tuple[float, ...]
+Key = TypeVar("Key", bound=Hashable)
+Priority = tuple[float, ...]
 
 
-class Ranking(Generic[Name]):
+class IndexedHeap(Generic[Key]):
     """Names by rank, the highest first; those of equal rank in the order in which they came."""
 
     __slots__ = ("_heap", "_order", "_places")
 
     def __init__(self) -> None:
         """Without an entry."""
-        self._heap: list[tuple[Rank, int, Name]] = []
-        self._places: dict[Name, int] = {}
+        self._heap: list[tuple[Priority, int, Key]] = []
+        self._places: dict[Key, int] = {}
         self._order = 0
 
     def __len__(self) -> int:
@@ -34,39 +34,39 @@
         """Whether it is ranked."""
         return name in self._places
 
-    def __iter__(self) -> Iterator[Name]:
+    def __iter__(self) -> Iterator[Key]:
         """All names, in no order."""
         return iter(self._places)
 
-    def rank(self, name: Name) -> Rank | None:
+    def priority(self, key: Key) -> Priority | None:
         """Its rank; None where it has none."""
-        place = self._places.get(name)
+        place = self._places.get(key)
         return None if place is None else self._heap[place][0]
 
     @property
-    def first(self) -> Name | None:
+    def first(self) -> Key | None:
         """Who ranks highest; None where nobody is ranked."""
         return self._heap[0][2] if self._heap else None
 
-    def put(self, name: Name, rank: Rank) -> None:
+    def put(self, key: Key, priority: Priority) -> None:
         """Rank it, or rank it anew; it keeps its turn among equals."""
-        place = self._places.get(name)
+        place = self._places.get(key)
         if place is None:
             self._order -= 1
-            self._heap.append((rank, self._order, name))
+            self._heap.append((priority, self._order, key))
             self._up(len(self._heap) - 1)
             return
         old, order, _ = self._heap[place]
-        if old != rank:
-            self._heap[place] = (rank, order, name)
-            if rank > old:
+        if old != priority:
+            self._heap[place] = (priority, order, key)
+            if priority > old:
                 self._up(place)
             else:
                 self._down(place)
 
-    def drop(self, name: Name) -> bool:
+    def discard(self, key: Key) -> bool:
         """Take it out; False where it was not in."""
-        place = self._places.pop(name, None)
+        place = self._places.pop(key, None)
         if place is None:
             return False
         last = self._heap.pop()
--- a/frostfall/limits/rules.py
+++ b/frostfall/limits/options.py
@@ -6,71 +6,71 @@
 
 import msgspec
 
-from frostfall.limits.budget import Allowance
-from frostfall.limits.meter import LeastRate
-from frostfall.limits.turns import Arrivals, Quantum
-from frostfall.routing.ejection import Pauses
+from frostfall.limits.buffer_budget import BufferLimits
+from frostfall.limits.fair_scheduling import ArrivalRate, Quantum
+from frostfall.limits.throughput_monitor import MinimumRate
+from frostfall.routing.outlier_ejection import EjectionOptions
 
 
-class ClientClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ClientClassOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What differs for the answers of one class; which class a query is of is known only once it has come."""
 
-    reading: LeastRate | None = None
+    reading: MinimumRate | None = None
 
 
-class ServerClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServerClassOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What differs for one class."""
 
-    reading: LeastRate | None = None
-    sending: LeastRate | None = None
+    reading: MinimumRate | None = None
+    sending: MinimumRate | None = None
 
 
-class Clients(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ClientOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Least rates of clients: `reading` answers, `sending` queries; without one, none is asked."""
 
-    reading: LeastRate | None = None
-    sending: LeastRate | None = None
+    reading: MinimumRate | None = None
+    sending: MinimumRate | None = None
     sending_most: float = 60.0  # seconds that one query may take to come in, however steadily
-    classes: dict[str, ClientClass] = {}
+    classes: dict[str, ClientClassOptions] = {}
 
     def __post_init__(self) -> None:
         """Check that the figures go together."""
         if not 0 < self.sending_most < math.inf:
             raise ValueError(f"sending_most: {self.sending_most:g} is not above 0")
 
-    def reads(self, name: str) -> LeastRate | None:
+    def reading_rate(self, class_name: str) -> MinimumRate | None:
         """The rate at which answers of this class are to be read."""
-        own = self.classes.get(name)
+        own = self.classes.get(class_name)
         return own.reading if own and own.reading else self.reading
 
 
-class Servers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServerOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Least rates of servers: `reading` the queries, `sending` an answer once its first byte has come."""
 
-    reading: LeastRate | None = None
-    sending: LeastRate | None = None
-    classes: dict[str, ServerClass] = {}
-    apart: Pauses = Pauses()
+    reading: MinimumRate | None = None
+    sending: MinimumRate | None = None
+    classes: dict[str, ServerClassOptions] = {}
+    apart: EjectionOptions = EjectionOptions()
 
-    def reads(self, name: str) -> LeastRate | None:
+    def reading_rate(self, class_name: str) -> MinimumRate | None:
         """The rate at which queries of this class are to be read."""
-        own = self.classes.get(name)
+        own = self.classes.get(class_name)
         return own.reading if own and own.reading else self.reading
 
-    def sends(self, name: str) -> LeastRate | None:
+    def sending_rate(self, class_name: str) -> MinimumRate | None:
         """The rate at which answers of this class are to come, once begun."""
-        own = self.classes.get(name)
+        own = self.classes.get(class_name)
         return own.sending if own and own.sending else self.sending
 
 
-class SlowPeers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SlowPeerOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The whole section; without it only the bounds hold that always do."""
 
-    clients: Clients = Clients()
-    servers: Servers = Servers()
-    waiting: Allowance | None = None
+    clients: ClientOptions = ClientOptions()
+    servers: ServerOptions = ServerOptions()
+    waiting: BufferLimits | None = None
     turn: Quantum = Quantum()
-    arrivals: Arrivals | None = None  # without it, connections are taken in as they come
+    arrivals: ArrivalRate | None = None  # without it, connections are taken in as they come
     log_every: float = 10.0  # seconds between log lines on what was shed
 
     def __post_init__(self) -> None:
--- a/frostfall/limits/meter.py
+++ b/frostfall/limits/throughput_monitor.py
@@ -13,17 +13,17 @@
 import msgspec
 
 
-class Standing(Enum):
+class ThroughputVerdict(Enum):
     """How a peer stands."""
 
     IDLE = auto()  # nothing is owed, or all that was owed at the look before has been moved
-    MOVING = auto()  # something is owed, and it goes fast enough so far
+    PROGRESSING = auto()  # something is owed, and it goes fast enough so far
     SLOW = auto()  # below the least rate, for less than the window
     STALLED = auto()  # nothing has moved since the look before
-    SPENT = auto()  # below the least rate over the whole window: to be given up
+    FAILED = auto()  # below the least rate over the whole window: to be given up
 
 
-class LeastRate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MinimumRate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """At least so many bytes a second over a window, with a stall of up to the grace forgiven in each window.
 
     ValueError where the figures do not go together.
@@ -42,15 +42,15 @@
         if not 0 <= self.grace < self.window:
             raise ValueError(f"grace: {self.grace:g} is not from 0 to below window, {self.window:g}")
 
-    def owed(self, span: float, stall: float) -> float:
+    def required_bytes(self, elapsed: float, longest_stall: float) -> float:
         """The bytes asked for in a span of seconds, in which one stall is forgiven up to the grace."""
-        return self.rate * max(span - min(stall, self.grace), 0.0)
+        return self.rate * max(elapsed - min(longest_stall, self.grace), 0.0)
 
 
-ENDLESS = 1 << 62  # a position for what is due until its end is seen, such as an answer of unknown length
+END_UNKNOWN = 1 << 62  # a position for what is due until its end is seen, such as an answer of unknown length
 
 
-class Meter:
+class ThroughputMonitor:
     """One direction of one connection.
 
     A peer is judged only over a span in which some byte was due at every look. What was due at one look and
@@ -59,38 +59,38 @@
     longest stall in the window is forgiven up to the grace.
     """
 
-    __slots__ = ("_due", "_marks", "standing")
+    __slots__ = ("_due", "_marks", "verdict")
 
     def __init__(self) -> None:
         """Nothing has been moved, nothing is owed."""
         self._due = 0  # up to where the peer owed at the last look
         # (time, moved), where more had moved; oldest first
         self._marks: deque[tuple[float, int]] | None = None
-        self.standing = Standing.IDLE
+        self.verdict = ThroughputVerdict.IDLE
 
-    def rest(self) -> None:
+    def reset(self) -> None:
         """What was due has come to its end: the next thing due is judged by itself."""
-        self._marks, self._due, self.standing = None, 0, Standing.IDLE
+        self._marks, self._due, self.verdict = None, 0, ThroughputVerdict.IDLE
 
-    def look(self, now: float, moved: int, due: int, rule: LeastRate) -> Standing:
+    def observe(self, now: float, transferred: int, due: int, minimum: MinimumRate) -> ThroughputVerdict:
         """Judge at `now`, with so many bytes moved in all and those up to `due` owed."""
-        if moved >= due or moved >= self._due or self._marks is None:
+        if transferred >= due or transferred >= self._due or self._marks is None:
             self._due = due
-            self._marks = None if moved >= due else deque([(now, moved)])
-            self.standing = Standing.IDLE if moved >= due else Standing.MOVING
-            return self.standing
+            self._marks = None if transferred >= due else deque([(now, transferred)])
+            self.verdict = ThroughputVerdict.IDLE if transferred >= due else ThroughputVerdict.PROGRESSING
+            return self.verdict
         self._due = due
         marks = self._marks
-        fresh = moved > marks[-1][1]
+        fresh = transferred > marks[-1][1]
         if fresh:
-            marks.append((now, moved))
+            marks.append((now, transferred))
         # The mark at or before the window's start stays: what moved since then is what moved in the window.
-        while len(marks) > 1 and marks[1][0] <= now - rule.window:
+        while len(marks) > 1 and marks[1][0] <= now - minimum.window:
             marks.popleft()
-        self.standing = self._judge(now, moved, rule, fresh)
-        return self.standing
+        self.verdict = self._judge(now, transferred, minimum, fresh)
+        return self.verdict
 
-    def _judge(self, now: float, moved: int, rule: LeastRate, fresh: bool) -> Standing:
+    def _judge(self, now: float, moved: int, rule: MinimumRate, fresh: bool) -> ThroughputVerdict:
         marks = self._marks
         assert marks is not None
         since = max(marks[0][0], now - rule.window)
@@ -99,14 +99,14 @@
             stall, before = max(stall, at - before), max(at, before)
         stall = max(stall, now - before)
         gained = moved - marks[0][1]
-        if gained >= rule.owed(span, stall):
-            return Standing.MOVING if fresh else Standing.STALLED
+        if gained >= rule.required_bytes(span, stall):
+            return ThroughputVerdict.PROGRESSING if fresh else ThroughputVerdict.STALLED
         if span < rule.window:
-            return Standing.SLOW if fresh else Standing.STALLED
-        return Standing.SPENT
+            return ThroughputVerdict.SLOW if fresh else ThroughputVerdict.STALLED
+        return ThroughputVerdict.FAILED
 
     @property
-    def pace(self) -> float:
+    def throughput(self) -> float:
         """Bytes a second over the span that is judged; 0 where nothing has moved in it or none is."""
         if self._marks is None or len(self._marks) < 2:
             return 0.0
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -17,7 +17,7 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall.config import Address, Config, ConfigError, address
-from frostfall.limits.guard import Guard
+from frostfall.limits.slow_peer_detector import SlowPeerDetector
 from frostfall.net.appliances import Appliances, Attempt
 from frostfall.net.clients import Client, Clients, listen
 from frostfall.net.clock import Clock, Timers
@@ -77,9 +77,9 @@
         self._told_list = False  # by discovery
         self._group: TaskGroup | None = None
         sockets = Sockets(config.limits.sockets - SPARE_SOCKETS)
-        self._guard: Guard[Client] = Guard(config.options.slow_peers)
+        self._guard: SlowPeerDetector[Client] = SlowPeerDetector(config.options.slow_peers)
         self._watchdog = Watchdog()
-        self.engine.ejections.pauses = self._guard.rules.servers.apart
+        self.engine.ejections.options = self._guard.options.servers.apart
         self._appliances = Appliances(
             self.clock, config.settings.limits, sockets, self._guard, self._watchdog
         )
@@ -395,8 +395,8 @@
             stays.append("group")
             told = replace(told, options=msgspec.structs.replace(told.options, group=old.options.group))
         if told.options != old.options:
-            self._guard.renew(told.options.slow_peers)
-            self.engine.ejections.pauses = self._guard.rules.servers.apart
+            self._guard.reconfigure(told.options.slow_peers)
+            self.engine.ejections.options = self._guard.options.servers.apart
             self._clients.look_at_all()
             moved.append("slow_peers")
         self._config = replace(old, discovery=told.discovery, platform=told.platform, options=told.options)
@@ -480,8 +480,8 @@
                 connections=len(self._appliances),
                 requests=len(self._requests),
                 malformed=dict(self._clients.malformed),
-                shed=self._guard.tally.totals(),
-                waiting=self._guard.budget.waiting,
-                slept_s=round(self._watchdog.attention.lost, 3),
+                shed=self._guard.shed_counter.totals(),
+                waiting=self._guard.budget.buffered_bytes,
+                slept_s=round(self._watchdog.attention.stalled_seconds, 3),
             )
             self._clients.malformed.clear()
--- a/frostfall/net/appliances.py
+++ b/frostfall/net/appliances.py
@@ -11,8 +11,8 @@
 from frostfall import log
 from frostfall.config import Address
 from frostfall.interface import Limits
-from frostfall.limits.guard import Guard, Side
-from frostfall.limits.shedding import Reason
+from frostfall.limits.shed_counter import ShedReason
+from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
 from frostfall.net.clock import Clock
 from frostfall.net.streams import ENDED, Sockets, Stream, connect
 from frostfall.net.watchdog import TURN, Watchdog, Watched
@@ -31,14 +31,14 @@
 class Connection(Watched):
     """One connection to an appliance."""
 
-    def __init__(self, address: Address, stream: Stream, guard: Guard[Any]) -> None:
+    def __init__(self, address: Address, stream: Stream, guard: SlowPeerDetector[Any]) -> None:
         """Speak over this stream."""
         super().__init__()
         self.address = address
         self.stream = stream
         self.machine = ClientSide(USER, DATABASE)
         self.idle_since = 0
-        self.side = Side()
+        self.side = ConnectionProgress()
         self.attempt: Attempt | None = None  # the one under way
         self.unwritten = 0  # bytes of its query that the kernel has not taken yet
         self._guard = guard
@@ -47,14 +47,14 @@
         """Judge how the server takes the query and gives the answer; until an attempt begins, not again."""
         if self.attempt is None:
             return None
-        reason = self._guard.server_reads(self.side, now, self.unwritten + self.stream.unsent)
+        reason = self._guard.check_server_reading(self.side, now, self.unwritten + self.stream.unsent)
         if reason is None and self.attempt.progress is Progress.ANSWERING:
-            reason = self._guard.server_sends(self.side, now)
-            if self._guard.server_suspect(self.side, now):
+            reason = self._guard.check_server_sending(self.side, now)
+            if self._guard.suspects_server(self.side, now):
                 self.attempt.suspect()
         if reason is None:
             return TURN
-        self._guard.tally.note(reason, str(self.address))
+        self._guard.shed_counter.record(reason, str(self.address))
         self.attempt.stall(reason)
         return None
 
@@ -74,7 +74,7 @@
         self.class_name = class_name
         self.progress = Progress.NO_CONNECTION
         self.given_up = False
-        self.stalled: Reason | None = None
+        self.stalled: ShedReason | None = None
         self.scope = anyio.CancelScope()
 
     def give_up(self) -> None:
@@ -88,7 +88,7 @@
             self.suspected = True
             self._slowed()
 
-    def stall(self, reason: Reason) -> None:
+    def stall(self, reason: ShedReason) -> None:
         """Stop waiting, as the server goes too slowly; the connection closes."""
         self.suspect()
         self.stalled = reason
@@ -103,11 +103,11 @@
         clock: Clock,
         limits: Limits,
         sockets: Sockets,
-        guard: Guard[Any] | None = None,
+        guard: SlowPeerDetector[Any] | None = None,
         watchdog: Watchdog | None = None,
     ) -> None:
         """Hold as many connections as there are sockets; `watchdog` has to be run by the owner."""
-        self._guard = guard or Guard[Any]()
+        self._guard = guard or SlowPeerDetector[Any]()
         self._watchdog = Watchdog() if watchdog is None else watchdog
         self._clock = clock
         self._connect_timeout = limits.connect_timeout / 1e6
@@ -169,10 +169,10 @@
                 connection is not None
                 and not attempt.given_up
                 and not attempt.stalled
-                and (self._guard.server_unfinished(connection.side, self._watchdog.now))
+                and (self._guard.ended_within_response(connection.side, self._watchdog.now))
             ):
-                attempt.stall(Reason.SERVER_SENDS_SLOWLY)
-                self._guard.tally.note(Reason.SERVER_SENDS_SLOWLY, str(address))
+                attempt.stall(ShedReason.SERVER_SENDS_SLOWLY)
+                self._guard.shed_counter.record(ShedReason.SERVER_SENDS_SLOWLY, str(address))
             ending = Ending(
                 attempt.progress,
                 cancelled=attempt.given_up,
@@ -201,17 +201,17 @@
         self, connection: Connection, attempt: Attempt, statement: Callable[[], bytes | None]
     ) -> Ending:
         machine, stream, side = connection.machine, connection.stream, connection.side
-        attempt.progress, connection.attempt, side.half_since = Progress.NOT_WRITTEN, attempt, None
+        attempt.progress, connection.attempt, side.partial_since = Progress.NOT_WRITTEN, attempt, None
         if (text := statement()) is None:
             return Ending(Progress.NOT_WRITTEN, withheld=True, why="withdrawn before it was written")
         try:
             data = machine.ask(text)
-            side.written += len(data)
+            side.bytes_written += len(data)
             connection.unwritten = len(data)
             if self._guard.watches_servers:
                 side.class_name = attempt.class_name
-                side.reading.rest()
-                side.sending.rest()
+                side.peer_reads.reset()
+                side.peer_sends.reset()
                 if not connection.armed:
                     self._watchdog.arm(connection, TURN)
             await self._write(connection, attempt, data)
@@ -219,8 +219,8 @@
                 received = await stream.receive()
                 if attempt.progress is not Progress.ANSWERING:
                     attempt.progress = Progress.ANSWERING
-                    side.half_since, side.half_from = self._watchdog.now, side.given
-                side.given += len(received)
+                    side.partial_since, side.partial_start_bytes = self._watchdog.now, side.bytes_received
+                side.bytes_received += len(received)
                 machine.feed(received)
         except ENDED as error:
             return Ending(attempt.progress, why=repr(error))
@@ -262,7 +262,7 @@
         try:
             with anyio.move_on_after(self._connect_timeout):
                 connection = Connection(address, await connect(address), self._guard)
-                if waiting := self._guard.rules.waiting:
+                if waiting := self._guard.options.waiting:
                     connection.stream.bound(waiting.kernel_bytes)
                 machine = connection.machine
                 await connection.stream.send(machine.opening)
--- a/frostfall/net/clients.py
+++ b/frostfall/net/clients.py
@@ -15,9 +15,9 @@
 
 from frostfall import log
 from frostfall.config import Address
-from frostfall.limits.guard import Guard, Side
-from frostfall.limits.shedding import Reason
-from frostfall.limits.turns import Pace, Turns
+from frostfall.limits.fair_scheduling import ArrivalPacer, DeficitCounter
+from frostfall.limits.shed_counter import ShedReason
+from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
 from frostfall.net.streams import ENDED, Sockets, Stream, unconnected
 from frostfall.net.watchdog import Watchdog, Watched
 from frostfall.protocol import pg, pg_server
@@ -57,8 +57,8 @@
         super().__init__()
         self.crowded = crowded
         self.source = source
-        self.side = Side()
-        self._turns = Turns(owner.guard.rules.turn)
+        self.side = ConnectionProgress()
+        self._turns = DeficitCounter(owner.guard.options.turn)
         self.opened = monotonic()
         self.request: str | None = None  # the request that waits for its answer
         self.draining = crowded
@@ -141,7 +141,7 @@
         waits = len(self._out)
         if guard.watches_clients:
             waits += self._stream.unsent
-            reason = guard.client_reads(self, self.side, self.source, now, waits)
+            reason = guard.check_client_reading(self, self.side, self.source, now, waits)
             if reason:
                 self.shed(reason)
             else:
@@ -149,29 +149,29 @@
             if self._gone:
                 return None
         if self._out:
-            if guard.rules.clients.reads(self.side.class_name) or now - self._out_since <= longest:
+            if guard.options.clients.reading_rate(self.side.class_name) or now - self._out_since <= longest:
                 return LOOK
             self._leave()  # without a least rate: beyond that time nobody reads what is worth nothing by now
         elif self._machine.busy or self._last:
             pass
-        elif self.side.half_since is not None and guard.rules.clients.sending:
-            if not (reason := guard.client_sends(self.side, now)):
+        elif self.side.partial_since is not None and guard.options.clients.sending:
+            if not (reason := guard.check_client_sending(self.side, now)):
                 return LOOK
-            guard.tally.note(reason, self.source)
+            guard.shed_counter.record(reason, self.source)
             self._refuse(pg.Malformed.SILENT)
-        elif not self._asked or self.side.half_since is not None:
-            since = self._came if self.side.half_since is None else self.side.half_since
+        elif not self._asked or self.side.partial_since is not None:
+            since = self._came if self.side.partial_since is None else self.side.partial_since
             since = since if self._asked else self._came
             if now - since <= QUIET:
                 return max(QUIET - (now - since), LOOK)
             self._refuse(pg.Malformed.SILENT)
         return LOOK if waits else None
 
-    def shed(self, reason: Reason) -> None:
+    def shed(self, reason: ShedReason) -> None:
         """Give the client up: it could not be told anything, as nothing goes out to it in time."""
         # Danger: closed in the usual way, the kernel would hold what is unread until its own time-outs,
         # minutes later.
-        self._owner.guard.tally.note(reason, self.source)
+        self._owner.guard.shed_counter.record(reason, self.source)
         self._owner.guard.budget.release(self)
         self._stream.abandon()
         self._leave()
@@ -187,7 +187,7 @@
     def _say(self, data: bytes, last: bool = False) -> None:
         if self._gone:
             return
-        self.side.written += len(data)
+        self.side.bytes_written += len(data)
         if data and self._owner.guard.watches_clients:
             self._owner.watchdog.arm(self, LOOK)
         if data and not self._out:
@@ -202,9 +202,9 @@
                 self._owner.watchdog.arm(self, LOOK)
                 self._owner.later(self._flush)
             self._out += data
-            if self._owner.guard.rules.waiting:
+            if self._owner.guard.options.waiting:
                 # Danger: accounted for at the next look only, what a crowd makes wait would be held.
-                self._owner.guard.hold_at_once(self, self.source, len(self._out))
+                self._owner.guard.record_buffered(self, self.source, len(self._out))
                 self._owner.relieve(self)
                 if self._gone:
                     return
@@ -220,7 +220,7 @@
             while self._out and not self._gone:
                 await self._stream.writable()
                 # Danger: handed over whole, a large value to one client holds up all the others.
-                del self._out[: self._stream.write(self._out[: self._owner.guard.rules.turn.size])]
+                del self._out[: self._stream.write(self._out[: self._owner.guard.options.turn.size])]
         except ENDED:
             self._leave()
         self._flushed.set()
@@ -236,14 +236,14 @@
         if self._advancing:  # the agent may answer a query at once, from inside this loop
             return False
         self._advancing = True
-        self._turns.begin()
+        self._turns.begin_turn()
         try:
-            while self._turns.left:
+            while self._turns.may_continue:
                 before = self._machine.buffered
                 if self._held_back or (event := self._machine.next_event()) is None:
                     return False
                 self._event(event)
-                self._turns.spend(before - self._machine.buffered)
+                self._turns.charge(before - self._machine.buffered)
             return True
         finally:
             self._advancing = False
@@ -253,16 +253,16 @@
     @property
     def _held_back(self) -> bool:
         """Whether so much waits to be read that no further query is looked at."""
-        return len(self._out) > OUT_MOST or (bool(self._out) and self._owner.guard.budget.full)
+        return len(self._out) > OUT_MOST or (bool(self._out) and self._owner.guard.budget.saturated)
 
     def _note_half(self) -> None:
         half = self._machine.buffered and not (self._machine.busy or self._last or self._out)
-        if half and self.side.half_since is None:
-            self.side.half_since = self._owner.watchdog.now
-            self._owner.watchdog.arm(self, LOOK if self._owner.guard.rules.clients.sending else QUIET)
-        elif not half and self.side.half_since is not None:
-            self.side.half_since = None
-            self.side.sending.rest()
+        if half and self.side.partial_since is None:
+            self.side.partial_since = self._owner.watchdog.now
+            self._owner.watchdog.arm(self, LOOK if self._owner.guard.options.clients.sending else QUIET)
+        elif not half and self.side.partial_since is not None:
+            self.side.partial_since = None
+            self.side.peer_sends.reset()
 
     def _event(self, event: pg_server.Event) -> None:
         match event:
@@ -303,7 +303,7 @@
             except ENDED:
                 return False
             self.used = monotonic()
-            self.side.given += len(data)
+            self.side.bytes_received += len(data)
             self._machine.feed(data)
             await self._go_on()
             if not self._machine.busy and self._machine.buffered > SMALL and self._owner.over:
@@ -362,14 +362,14 @@
         memory: int,
         longest: float,
         spare: Callable[[], bool],
-        guard: Guard[Client] | None = None,
+        guard: SlowPeerDetector[Client] | None = None,
         watchdog: Watchdog | None = None,
     ) -> None:
         """Hold so many connections at most and so many bytes unread; `spare` may close one of another use.
 
         `watchdog` has to be run by the owner, with `turn` after each of its turns.
         """
-        self.guard = guard or Guard[Client]()
+        self.guard = guard or SlowPeerDetector[Client]()
         self.watchdog = Watchdog() if watchdog is None else watchdog
         self.longest = longest
         self.malformed = Counter[str]()  # what could not be read, by its reason, since it was last told
@@ -378,7 +378,7 @@
         self._most = most
         self._memory, self._held = memory, 0
         self._spare = spare
-        self._pace = Pace()
+        self._pace = ArrivalPacer()
         self._open: set[Client] = set()
         # In the order of their coming, each without those that are about to end.
         self._silent: dict[Client, None] = {}
@@ -467,7 +467,7 @@
             while self._beyond >= CROWD_MOST:
                 await anyio.sleep(0 if self._push_out() else PAUSE)
             for _ in range(ACCEPT_MOST):
-                if wait := self._pace.take(monotonic(), self.guard.rules.arrivals):
+                if wait := self._pace.take(monotonic(), self.guard.options.arrivals):
                     await anyio.sleep(wait)
                     break
                 try:
@@ -490,7 +490,7 @@
                     break
 
     def _take(self, stream: Stream, group: TaskGroup, crowded: bool, source: str) -> None:
-        if waiting := self.guard.rules.waiting:
+        if waiting := self.guard.options.waiting:
             stream.bound(waiting.kernel_bytes)
         client = Client(stream, self._front, self, crowded, source)
         client.draining = self._draining or crowded
@@ -538,7 +538,7 @@
 
     def relieve(self, client: Client) -> None:
         """Let those leave for whom too much waits, now that this one's account has changed."""
-        while found := self.guard.excess(client):
+        while found := self.guard.find_eviction(client):
             reason, chosen = found
             chosen.shed(reason)
 
@@ -549,7 +549,7 @@
 
     def turn(self) -> None:
         """With many open, close those that have been idle for long; told once a while who was shed."""
-        if line := self.guard.tally.line(monotonic()):
+        if line := self.guard.shed_counter.report_if_due(monotonic()):
             _log.warning("shed", **line)
         if len(self._open) <= self._most * SHORT_PART:
             return
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -19,7 +19,7 @@
 from frostfall.copies.holding import Holding, is_copy
 from frostfall.copies.repair import Repair
 from frostfall.copies.words import NONE, Words
-from frostfall.limits.attention import Attention
+from frostfall.limits.stall_adjusted_clock import StallAdjustedClock
 from frostfall.membership.members import Answer, Health, Life, Members
 from frostfall.net import disk
 from frostfall.net.agreement import Agreement
@@ -355,10 +355,10 @@
 
     async def _turns(self) -> None:
         every = self.rules.turns.every
-        attention, turn = Attention(every, every * PAUSE_MOST), 0
+        attention, turn = StallAdjustedClock(every, every * PAUSE_MOST), 0
         while True:
-            attention.turn(self._steady())
-            if not attention.paused:
+            attention.advance(self._steady())
+            if not attention.stalled:
                 for name, health in self.members.turn():
                     _log.warning("member", member=name, health=health.value)
             self._note_list()
--- a/frostfall/net/watchdog.py
+++ b/frostfall/net/watchdog.py
@@ -10,8 +10,8 @@
 import anyio
 
 from frostfall import log
-from frostfall.limits.attention import Attention
-from frostfall.limits.wheel import Timer, Wheel
+from frostfall.limits.stall_adjusted_clock import StallAdjustedClock
+from frostfall.limits.timer_wheel import Timer, TimerWheel
 
 TURN = 0.1  # seconds: how finely deadlines of connections are kept
 GAP_MOST = 0.5  # seconds: between two turns, more than this the agent has slept through
@@ -33,8 +33,8 @@
     def __init__(self, steady: Callable[[], float] = monotonic) -> None:
         """Go by this clock, in seconds."""
         self._steady = steady
-        self._wheel: Wheel[Watched] = Wheel()
-        self.attention = Attention(TURN, GAP_MOST)
+        self._wheel: TimerWheel[Watched] = TimerWheel()
+        self.attention = StallAdjustedClock(TURN, GAP_MOST)
 
     def __len__(self) -> int:
         """How many are waiting for their next look."""
@@ -48,16 +48,16 @@
     def arm(self, owner: Watched, seconds: float) -> None:
         """Look at it after so many seconds, or before."""
         turns = math.ceil(seconds / TURN)
-        if not owner.armed or owner.due > self._wheel.turn + turns:
-            self._wheel.set(owner, turns)
+        if not owner.armed or owner.due_tick > self._wheel.tick + turns:
+            self._wheel.schedule(owner, turns)
 
     def disarm(self, owner: Watched) -> None:
         """Look at it no more."""
-        self._wheel.call_off(owner)
+        self._wheel.cancel(owner)
 
     def turn(self) -> None:
         """Look at all whose time has come."""
-        now = self.attention.turn(self._steady())
+        now = self.attention.advance(self._steady())
         for owner in self._wheel.advance(int(now / TURN)):
             try:
                 again = owner.look(now)
@@ -66,7 +66,7 @@
                 _log.exception("look failed")
                 again = None
             if again is not None:
-                self._wheel.set(owner, math.ceil(again / TURN))
+                self._wheel.schedule(owner, math.ceil(again / TURN))
 
     async def run(self, each: Callable[[], None]) -> None:
         """Take turns for good; `each` is called after every one."""
--- a/frostfall/options.py
+++ b/frostfall/options.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from frostfall.limits.rules import SlowPeers
+from frostfall.limits.options import SlowPeerOptions
 
 
 class Options(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The operator file. Without one, all is as these defaults say: nothing beyond the platform's own."""
 
-    slow_peers: SlowPeers | None = None
+    slow_peers: SlowPeerOptions | None = None
     group: Any = None  # a recovery.rules.Group, checked by `config`: who has none does not load what it needs
--- a/frostfall/policy/engine.py
+++ b/frostfall/policy/engine.py
@@ -10,9 +10,9 @@
 
 from frostfall import interface as api
 from frostfall.interface import Availability, Idempotency, Outcome, RolloutPhase, Verdict, VoteReply
-from frostfall.knowledge.servers import Servers
 from frostfall.mixing import exchange_partner, mixing_rate, round_length
-from frostfall.routing.ejection import Ejections
+from frostfall.routing.outlier_ejection import OutlierEjections
+from frostfall.shared_health.server_health import SharedHealth
 from frostfall.sprt import decision_threshold, kl_divergence, log_likelihood_ratio
 from frostfall.state import Attempt, GossipMessage, PendingRequest, PendingVote, SequentialTest, ServerState
 
@@ -77,8 +77,8 @@
         self.flags, self.calm, self.gone = dict[int, int](), 0.0, -1  # disputes; late before; build gone back
         self.test: SequentialTest | None = None
         self.ballot: PendingVote | None = None
-        self.shared_health = Servers(self.agents, self.turns)  # what all agents saw of each server
-        self.ejections = Ejections()  # servers that turned slow in the middle of an answer
+        self.shared_health = SharedHealth(self.agents, self.turns)  # what all agents saw of each server
+        self.ejections = OutlierEjections()  # servers that turned slow in the middle of an answer
         self.handlers: dict[type, Any] = {
             api.RequestArrived: self._arrive, api.AttemptEnded: self._ended, api.TimerFired: self._timer,
             api.GossipReceived: self._hear, api.ServerListUpdated: self._listed, api.RolloutState: self._news,
@@ -118,7 +118,7 @@
                 self._close(request)
 
     def _slowed(self, event: api.ServerDegraded) -> None:
-        self.ejections.slowed(self.now, event.server, len(self.fleet))
+        self.ejections.record_degraded(self.now, event.server, len(self.fleet))
 
     def _listed(self, event: api.ServerListUpdated) -> None:
         if event.kind is api.ServerListKind.FAILED:
@@ -151,7 +151,7 @@
     def _weigh(self) -> None:
         self.trials = [s for s in self.fleet if self.test and s.info.build == self.test.key[0]]
         trials = [s.incarnation for s in self.trials]
-        self.shared_health.listed({s.incarnation for s in self.servers.values()}, trials)
+        self.shared_health.update_fleet({s.incarnation for s in self.servers.values()}, trials)
         on_top = len(self.trials) if self.rollout and self.rollout.keeps_old_servers else 0
         self.eager = EAGER * (1 + 8 * on_top / max(len(self.fleet), 1))
 
@@ -423,7 +423,7 @@
         attempt.server.in_flight.pop((event.request, event.attempt), None)
         self.in_flight -= 1
         if self.ejections and event.outcome is Outcome.SUCCESS:
-            self.ejections.served(self.now, event.server)
+            self.ejections.record_success(self.now, event.server)
         self._learn(request, attempt, event)
         self._judge(request, attempt, event)
         if event.final or request.done:
@@ -448,7 +448,7 @@
             event.outcome is Outcome.TIMED_OUT and server.heard_at <= attempt.sent_at)
         if silent or event.outcome in (Outcome.SUCCESS, Outcome.ERROR):  # who is late tells of load
             failed = event.outcome is Outcome.ERROR
-            self.shared_health.ended(server.incarnation, server.info.zone, failed, silent)
+            self.shared_health.record_attempt(server.incarnation, server.info.zone, failed, silent)
         if event.outcome is Outcome.UNREACHABLE:
             server.ejection_pause = min(max(server.ejection_pause * 2, SHUN_FIRST), SHUN_MOST)
             server.ejected_until = self.now + server.ejection_pause
@@ -506,7 +506,7 @@
             self.tick = TRIAL_TICK if fast else TICK
             if news.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
                 self.test, self.gone = None, news.build
-                self.shared_health.on_trial()
+                self.shared_health.set_trial_stage()
             elif self.test is None or self.test.key != key:
                 old, was = self.test, self._forget(news.build)
                 base = old.base if old and old.key[0] == news.build else [
@@ -515,7 +515,7 @@
                 late = min(old.mix[1], 0.0) if old and old.key[0] == news.build else 0.0
                 mix = [0.0, late, 0.0, 0.0, *base, *[0.0] * 7]
                 self.test = SequentialTest(key, self.now - news.age, base, mix)
-                self.shared_health.on_trial(key)
+                self.shared_health.set_trial_stage(key)
                 self._weigh()
         if news.reply in (VoteReply.OVERLOADED, VoteReply.ERROR, VoteReply.UNKNOWN) and self.ballot:
             self.ballot.renew_at = self.now + 300_000 + self.random.randrange(500_000)
@@ -593,7 +593,7 @@
                     test.innovation[k] += log_likelihood_ratio(bad, *stream)
             blame = log_likelihood_ratio(True, self._p0(test, request.kind.name), MARGIN) if failed else 0.0
             test.failures += failed
-            self.shared_health.judged(server.incarnation, failed, blame)
+            self.shared_health.record_trial_outcome(server.incarnation, failed, blame)
 
     def _disputed(self, event: api.AnswerDisputed) -> None:
         # Danger: a wrong answer counts as a good one when it comes; only a flag tells, and some flags err.
@@ -610,7 +610,7 @@
         test, (score, _, servers) = self.test, event.text.partition(" ")
         if event.sender != exchange_partner(self.settings.agent, self.agents, self.turn, self.turns):
             return
-        self.shared_health.sums.hear(self.turn, servers)
+        self.shared_health.push_sum.receive(self.turn, servers)
         told = GossipMessage.decode(score)
         if test and told and (*test.key, self.turn & 0xFFFF) == (told.build, told.stage, told.turn):
             test.heard = told.numbers
@@ -624,7 +624,7 @@
         if self.rollout is None:
             return
         itself = exchange_partner(me, self.agents, last, self.turns) == me
-        self.shared_health.sums.turn_over(last, itself)
+        self.shared_health.push_sum.end_exchange(last, itself)
         # Danger: a silent partner freezes its term. Its half of the weight goes back to our own.
         if test and test.heard and last == self.turn - 1:
             test.mix = [(own + told) / 2 for own, told in zip(test.mix, test.heard)]
@@ -632,18 +632,18 @@
             met = test.heard is not None or itself
             test.heard, test.meets, test.turns = None, test.meets + met, test.turns + 1
         if self.turn % self.turns == 0:
-            self.shared_health.step(self.turns * self.tick)
+            self.shared_health.end_round(self.turns * self.tick)
             fleet = [(s.incarnation, s.info.zone) for s in self.fleet]
-            avoided = self.shared_health.avoided(fleet, self.random.random)
+            avoided = self.shared_health.servers_to_avoid(fleet, self.random.random)
             for server in self.fleet:
-                server.shared_error_rate = self.shared_health.errors(server.incarnation)
+                server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
                 if server.incarnation in avoided:
                     server.ejected_until = max(server.ejected_until, self.now + self.turns * self.tick)
             if test:
                 self._step(test, self.rollout)
         if (peer := exchange_partner(me, self.agents, self.turn, self.turns)) != me and self.limits.gossip:
             text = GossipMessage(*test.key, self.turn, test.mix).encode() if test else ""
-            servers = self.shared_health.offer(self.turn, MESSAGE - 1 - len(text))
+            servers = self.shared_health.build_message(self.turn, MESSAGE - 1 - len(text))
             self.actions.append(api.SendGossip(peer, f"{text} {servers}"))
         if test:
             self._cast(test, self.rollout)
@@ -654,9 +654,9 @@
         test.steps, test.missed, test.meets, test.turns = test.steps + 1, max(gone, test.mix[11]), 0, 0
         test.met = self.turns - test.missed
         test.score, test.base, test.timed = test.mix[:3], test.mix[4:6], test.mix[6:10]
-        test.count, test.carried = test.mix[3], test.mix[10]
-        pool = self._pool(test)
-        alone = self.shared_health.excused(test.count * pool, test.mix[12] * pool, LEAST_POOLED) / pool
+        test.count, test.carried, pool = test.mix[3], test.mix[10], self._pool(test)
+        tried, poor = test.count * pool, test.mix[12] * pool
+        alone = self.shared_health.outlier_evidence(tried, poor, LEAST_POOLED) / pool
         test.score[0] -= alone
         # Danger: held against a p0 of a moment ago, the onset of a shared slowdown speaks against the trial.
         fade = math.exp(-self.turns * self.tick / LATE_MEMORY)
--- a/frostfall/routing/ejection.py
+++ b/frostfall/routing/outlier_ejection.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-Micros = int
-SECOND = 1_000_000  # microseconds
+Microseconds = int
+MICROSECONDS_PER_SECOND = 1_000_000  # microseconds
 
 
-class Pauses(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class EjectionOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How long servers stay ejected, and how many. ValueError where the figures do not go together."""
 
     first: float = 0.5  # seconds
@@ -40,49 +40,52 @@
 
 @dataclass(slots=True)
 class _Case:
-    until: Micros
-    pause: Micros
+    until: Microseconds
+    pause: Microseconds
     good: int = 0
 
 
-class Ejections:
+class OutlierEjections:
     """Which servers are ejected. All calls take O(servers set apart) at most, those for a request O(1)."""
 
-    def __init__(self, pauses: Pauses | None = None) -> None:
+    def __init__(self, options: EjectionOptions | None = None) -> None:
         """With none ejected."""
-        self.pauses = pauses or Pauses()
+        self.options = options or EjectionOptions()
         self._cases: dict[int, _Case] = {}
 
     def __len__(self) -> int:
         """How many have a case, those that are being tried included."""
         return len(self._cases)
 
-    def slowed(self, now: Micros, server: int, fleet: int) -> bool:
+    def record_degraded(self, now: Microseconds, server: int, fleet_size: int) -> bool:
         """It turned slow; whether it is ejected now, which it is not where too many others are."""
-        forget = self.pauses.forget * SECOND
+        forget = self.options.forget * MICROSECONDS_PER_SECOND
         self._cases = {name: case for name, case in self._cases.items() if now - case.until < forget}
         case = self._cases.get(server)
         if case and now < case.until:
             return True  # others of its answers that were under way tell nothing new
-        first, most = int(self.pauses.first * SECOND), int(self.pauses.most * SECOND)
+        first, most = (
+            int(self.options.first * MICROSECONDS_PER_SECOND),
+            int(self.options.most * MICROSECONDS_PER_SECOND),
+        )
         pause = min(case.pause * 2, most) if case else first
         ejected = sum(now < other.until for other in self._cases.values())
         # Danger: where all are slow alike, the network or the agent is, and nobody would be left to serve.
-        if fleet < 2 or ejected + 1 > max(int(fleet * self.pauses.share), 1):
+        if fleet_size < 2 or ejected + 1 > max(int(fleet_size * self.options.share), 1):
             return False
         self._cases[server] = _Case(now + pause, pause)
         return True
 
-    def admits(self, now: Micros, server: int, out: int, harmless: bool) -> bool:
+    def admits(self, now: Microseconds, server: int, in_flight: int, retryable: bool) -> bool:
         """Whether it may get a request, with so many out there; `harmless`: it may be asked again."""
         case = self._cases.get(server)
-        whole = case is None or case.good >= self.pauses.good_tries
-        if case is None or whole or now - case.until >= self.pauses.forget * SECOND:
+        whole = case is None or case.good >= self.options.good_tries
+        if case is None or whole or now - case.until >= self.options.forget * MICROSECONDS_PER_SECOND:
             return True
         # Danger: what must not run twice is no try; stuck there, it could only fail.
-        return now >= case.until and not out and harmless
+        return now >= case.until and not in_flight and retryable
 
-    def served(self, now: Micros, server: int) -> None:
+    def record_success(self, now: Microseconds, server: int) -> None:
         """It served a request to its end."""
         # Danger: one that is slow only after its first reply passes single tries. So its case is kept after
         # it counts as whole, and the next pause is twice the last; what had been out before it was set apart
--- a/frostfall/zones/evidence.py
+++ b/frostfall/zones/fault_detection.py
@@ -22,7 +22,7 @@
 import msgspec
 
 
-class Trouble(Enum):
+class FaultKind(Enum):
     """Kinds of evidence."""
 
     SILENT = "silent"  # no connection, or no answer
@@ -30,17 +30,17 @@
     LATE = "late"
 
 
-class Finding(Enum):
+class ZoneStatus(Enum):
     """What a zone is taken for, from where one stands."""
 
-    WELL = "well"
+    HEALTHY = "well"
     LOST = "lost"
-    CUT = "cut"
+    PARTITIONED = "cut"
     FAILING = "failing"
     SLOW = "slow"
 
 
-class Rates(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class DetectionRates(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Shares of attempts that are in trouble, usually and when something is the matter; and error rates."""
 
     usual: float = 0.02
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class AttemptCounts:
     """Attempts of one round between two zones, and how many were in each kind of trouble."""
 
     attempts: int
@@ -68,14 +68,14 @@
 
 
 @dataclass(slots=True)
-class Sequential:
+class FaultTest:
     """One sequential test."""
 
-    rates: Rates
+    rates: DetectionRates
     score: float = 0.0
     raised: bool = False
 
-    def add(self, bad: int, good: int) -> bool:
+    def record(self, bad: int, good: int) -> bool:
         """Take in outcomes; whether the pair is in trouble."""
         rates = self.rates
         upper, lower = log((1 - rates.miss) / rates.false_alarm), log(rates.miss / (1 - rates.false_alarm))
@@ -92,42 +92,42 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class ZoneFaultDetector:
     """All that is known between zones; pairs are (of the agents, of the servers)."""
 
-    rates: Rates
-    _tests: dict[tuple[str, str], dict[Trouble, Sequential]] = field(default_factory=dict)
+    rates: DetectionRates
+    _tests: dict[tuple[str, str], dict[FaultKind, FaultTest]] = field(default_factory=dict)
 
-    def round(self, counts: Mapping[tuple[str, str], Counts]) -> None:
+    def record_round(self, counts: Mapping[tuple[str, str], AttemptCounts]) -> None:
         """Take in what agents of all zones that can be heard counted in one round."""
         everywhere = _share(counts.values())
         for pair, count in counts.items():
-            tests = self._tests.setdefault(pair, {kind: Sequential(self.rates) for kind in Trouble})
+            tests = self._tests.setdefault(pair, {kind: FaultTest(self.rates) for kind in FaultKind})
             answered = count.attempts - count.silent
-            tests[Trouble.SILENT].add(count.silent, answered)
-            tests[Trouble.ERROR].add(count.error, max(answered - count.error, 0))
+            tests[FaultKind.SILENT].record(count.silent, answered)
+            tests[FaultKind.ERROR].record(count.error, max(answered - count.error, 0))
             # Danger: when all are late, the load is the matter and no zone; what is late everywhere is usual.
             excess = max(count.late - round(everywhere * answered), 0)
-            tests[Trouble.LATE].add(excess, max(answered - excess, 0))
+            tests[FaultKind.LATE].record(excess, max(answered - excess, 0))
 
-    def raised(self, pair: tuple[str, str], kind: Trouble) -> bool:
+    def is_detected(self, pair: tuple[str, str], kind: FaultKind) -> bool:
         """Whether one test says so."""
         return pair in self._tests and self._tests[pair][kind].raised
 
-    def finding(self, own: str, zone: str) -> Finding:
+    def status(self, own: str, zone: str) -> ZoneStatus:
         """What a zone is taken for by one that stands in `own`."""
         seen = [one for one, other in self._tests if other == zone]
-        unreached = [one for one in seen if self.raised((one, zone), Trouble.SILENT)]
+        unreached = [one for one in seen if self.is_detected((one, zone), FaultKind.SILENT)]
         if unreached and len(unreached) == len(seen):
             # Danger: a zone that nobody but oneself watches may only be cut off from here.
-            return Finding.LOST if len(seen) > 1 else Finding.CUT
+            return ZoneStatus.LOST if len(seen) > 1 else ZoneStatus.PARTITIONED
         if own in unreached:
-            return Finding.CUT
+            return ZoneStatus.PARTITIONED
         reached = [one for one in seen if one not in unreached]
-        for kind, finding in ((Trouble.ERROR, Finding.FAILING), (Trouble.LATE, Finding.SLOW)):
-            if reached and all(self.raised((one, zone), kind) for one in reached):
+        for kind, finding in ((FaultKind.ERROR, ZoneStatus.FAILING), (FaultKind.LATE, ZoneStatus.SLOW)):
+            if reached and all(self.is_detected((one, zone), kind) for one in reached):
                 return finding
-        return Finding.WELL
+        return ZoneStatus.HEALTHY
 
     def forget(self, zone: str) -> None:
         """A zone returns: what was seen of it before says nothing of what it is now."""
@@ -135,7 +135,7 @@
             del self._tests[pair]
 
 
-def _share(counts: Iterable[Counts]) -> float:
+def _share(counts: Iterable[AttemptCounts]) -> float:
     """The middle pair's share of late answers."""
     shares = sorted(
         each.late / (each.attempts - each.silent) for each in counts if each.attempts > each.silent
--- a/frostfall/zones/plan.py
+++ b/frostfall/zones/traffic_plan.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-TINY = 1e-9
+FLOW_EPSILON = 1e-9
 
 
-class Prices(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RoutingCosts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What it costs to send one request away, of what its answer is worth."""
 
     zone: float = 0.02  # to another zone of the region
@@ -28,33 +28,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Zone:
+class ZoneCapacity:
     """One zone as a plan sees it."""
 
     name: str
     region: str
     demand: float  # requests a second that come to its agents
-    room: float  # requests a second that its servers bear; 0 while it is out
-    worth: float = 1.0  # of one of its requests
+    capacity: float  # requests a second that its servers bear; 0 while it is out
+    priority_weight: float = 1.0  # of one of its requests
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class TrafficPlan:
     """Requests a second from each zone to each, and what is refused."""
 
     flows: dict[tuple[str, str], float] = field(default_factory=dict)
-    refused: dict[str, float] = field(default_factory=dict)
+    rejected: dict[str, float] = field(default_factory=dict)
 
-    def shares(self, zone: str) -> dict[str, float]:
+    def traffic_split(self, zone: str) -> dict[str, float]:
         """What part of a zone's requests goes where; what is left of 1 is refused."""
-        total = self.refused.get(zone, 0.0) + sum(
+        total = self.rejected.get(zone, 0.0) + sum(
             flow for (one, _), flow in self.flows.items() if one == zone
         )
         return (
             {
                 other: flow / total
                 for (one, other), flow in sorted(self.flows.items())
-                if one == zone and flow > TINY * max(total, 1.0)
+                if one == zone and flow > FLOW_EPSILON * max(total, 1.0)
             }
             if total
             else {}
@@ -64,23 +64,26 @@
         """Requests a second that a zone gets."""
         return sum(flow for (_, other), flow in self.flows.items() if other == zone)
 
-    def cost(self, zones: Sequence[Zone], prices: Prices) -> float:
+    def total_cost(self, zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> float:
         """What the plan costs a second: ways, and the worth of what is refused."""
         known = {zone.name: zone for zone in zones}
         ways = sum(
-            flow * price(known[one], known[other], prices) for (one, other), flow in self.flows.items()
+            flow * routing_cost(known[one], known[other], routing_costs)
+            for (one, other), flow in self.flows.items()
         )
-        return ways + sum(flow * known[name].worth for name, flow in self.refused.items())
+        return ways + sum(flow * known[name].priority_weight for name, flow in self.rejected.items())
 
 
-def price(one: Zone, other: Zone, prices: Prices) -> float:
+def routing_cost(source: ZoneCapacity, target: ZoneCapacity, routing_costs: RoutingCosts) -> float:
     """What a request costs on its way."""
-    if one.name == other.name:
+    if source.name == target.name:
         return 0.0
-    return (prices.zone if one.region == other.region else prices.region) * one.worth
+    return (
+        routing_costs.zone if source.region == target.region else routing_costs.region
+    ) * source.priority_weight
 
 
-def solved(zones: Sequence[Zone], prices: Prices) -> Plan:
+def optimal_plan(zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> TrafficPlan:
     """The cheapest plan; RuntimeError where the solver finds none, which refusing all always is."""
     from scipy.optimize import linprog
     from scipy.sparse import coo_array
@@ -89,10 +92,10 @@
         (row, column)
         for row, one in enumerate(zones)
         for column, other in enumerate(zones)
-        if one.demand > 0 and other.room > 0
+        if one.demand > 0 and other.capacity > 0
     ]
-    costs = [price(zones[row], zones[column], prices) for row, column in ways]
-    costs += [zone.worth for zone in zones]
+    costs = [routing_cost(zones[row], zones[column], routing_costs) for row, column in ways]
+    costs += [zone.priority_weight for zone in zones]
     numbers = range(len(ways))
     equal = coo_array(
         (
@@ -108,7 +111,7 @@
     found = linprog(
         costs,
         A_ub=most,
-        b_ub=[zone.room for zone in zones],
+        b_ub=[zone.capacity for zone in zones],
         A_eq=equal,
         b_eq=[zone.demand for zone in zones],
         method="highs",
@@ -118,49 +121,51 @@
     flows = {
         (zones[row].name, zones[column].name): float(found.x[number])
         for number, (row, column) in enumerate(ways)
-        if found.x[number] > TINY
+        if found.x[number] > FLOW_EPSILON
     }
     refused = {
         zone.name: float(found.x[len(ways) + row])
         for row, zone in enumerate(zones)
-        if found.x[len(ways) + row] > TINY
+        if found.x[len(ways) + row] > FLOW_EPSILON
     }
-    return Plan(flows, refused)
+    return TrafficPlan(flows, refused)
 
 
-def nearest(zones: Sequence[Zone], prices: Prices) -> Plan:
+def greedy_plan(zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> TrafficPlan:
     """Each zone in turn takes the nearest room that is left: the plain way."""
-    left = {zone.name: zone.room for zone in zones}
-    plan = Plan()
+    left = {zone.name: zone.capacity for zone in zones}
+    plan = TrafficPlan()
     for zone in zones:
         rest = zone.demand
-        for other in sorted(zones, key=lambda each: (price(zone, each, prices), each.name)):
-            if (flow := min(rest, left[other.name])) > TINY:
+        for other in sorted(zones, key=lambda each: (routing_cost(zone, each, routing_costs), each.name)):
+            if (flow := min(rest, left[other.name])) > FLOW_EPSILON:
                 plan.flows[zone.name, other.name] = flow
                 left[other.name] -= flow
                 rest -= flow
-        if rest > TINY:
-            plan.refused[zone.name] = rest
+        if rest > FLOW_EPSILON:
+            plan.rejected[zone.name] = rest
     return plan
 
 
-def filled(zones: Sequence[Zone], prices: Prices) -> Plan:
+def proportional_plan(zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> TrafficPlan:
     """Own zones first, then what is over is poured evenly over the room that is left, own regions first."""
-    left = {zone.name: zone.room - min(zone.room, zone.demand) for zone in zones}
-    over = {zone.name: zone.demand - min(zone.room, zone.demand) for zone in zones}
-    plan = Plan(
+    left = {zone.name: zone.capacity - min(zone.capacity, zone.demand) for zone in zones}
+    over = {zone.name: zone.demand - min(zone.capacity, zone.demand) for zone in zones}
+    plan = TrafficPlan(
         {
-            (zone.name, zone.name): min(zone.room, zone.demand)
+            (zone.name, zone.name): min(zone.capacity, zone.demand)
             for zone in zones
-            if min(zone.room, zone.demand) > TINY
+            if min(zone.capacity, zone.demand) > FLOW_EPSILON
         }
     )
     for inside in (True, False):
         for region in sorted({zone.region for zone in zones}):
-            givers = [zone for zone in zones if zone.region == region and over[zone.name] > TINY]
-            takers = [zone for zone in zones if (zone.region == region) == inside and left[zone.name] > TINY]
+            givers = [zone for zone in zones if zone.region == region and over[zone.name] > FLOW_EPSILON]
+            takers = [
+                zone for zone in zones if (zone.region == region) == inside and left[zone.name] > FLOW_EPSILON
+            ]
             wanted, room = sum(over[zone.name] for zone in givers), sum(left[zone.name] for zone in takers)
-            if wanted <= TINY or room <= TINY:
+            if wanted <= FLOW_EPSILON or room <= FLOW_EPSILON:
                 continue
             part = min(1.0, room / wanted)
             for giver in givers:
@@ -173,28 +178,34 @@
                 left[taker.name] -= min(wanted, room) * left[taker.name] / room
             for giver in givers:
                 over[giver.name] *= 1 - part
-    plan.refused.update({name: rest for name, rest in over.items() if rest > TINY})
+    plan.rejected.update({name: rest for name, rest in over.items() if rest > FLOW_EPSILON})
     return plan
 
 
-def stepped(old: Plan, new: Plan, zones: Sequence[Zone], step: float) -> Plan:
+def step_towards(
+    old: TrafficPlan, new: TrafficPlan, zones: Sequence[ZoneCapacity], max_growth: float
+) -> TrafficPlan:
     """From one plan towards another, no zone's load growing by more than `step` of its room at once.
 
     One factor for all flows, so that what is sent stays what is asked: a part of the way between two plans
     that keep to the room keeps to it too. A zone of the old plan that has no room any more is left at once.
     """
     known = {zone.name: zone for zone in zones}
-    start = Plan({key: flow for key, flow in old.flows.items() if known[key[1]].room > 0}, dict(old.refused))
+    start = TrafficPlan(
+        {key: flow for key, flow in old.flows.items() if known[key[1]].capacity > 0}, dict(old.rejected)
+    )
     part = 1.0
     for zone in zones:
-        if (growth := new.load(zone.name) - start.load(zone.name)) > step * zone.room > 0:
-            part = min(part, step * zone.room / growth)
+        if (growth := new.load(zone.name) - start.load(zone.name)) > max_growth * zone.capacity > 0:
+            part = min(part, max_growth * zone.capacity / growth)
     keys = {*start.flows, *new.flows}
     flows = {key: (1 - part) * start.flows.get(key, 0.0) + part * new.flows.get(key, 0.0) for key in keys}
     sent: Mapping[str, float] = {
         zone.name: sum(flow for (one, _), flow in flows.items() if one == zone.name) for zone in zones
     }
     refused = {
-        zone.name: zone.demand - sent[zone.name] for zone in zones if zone.demand - sent[zone.name] > TINY
+        zone.name: zone.demand - sent[zone.name]
+        for zone in zones
+        if zone.demand - sent[zone.name] > FLOW_EPSILON
     }
-    return Plan({key: flow for key, flow in flows.items() if flow > TINY}, refused)
+    return TrafficPlan({key: flow for key, flow in flows.items() if flow > FLOW_EPSILON}, refused)
