--- a/frostfall/cli.py
+++ b/frostfall/cli.py
@@ -286,16 +286,16 @@
     """Set a key of the register that members keep in common, at whoever leads."""
     import anyio
 
-    from frostfall.net import group as link
+    from frostfall.net import member_transport as link
     from frostfall.net.streams import ENDED
-    from frostfall.protocol.group import Stranger
+    from frostfall.protocol.member_messages import MemberProtocolError
 
     shared, members = _members(operator, ())
     why = "nobody leads"
     for name, address in members:
         try:
-            fields = anyio.run(link.order, address, shared, "put", by, key, value).fields
-        except (OSError, Stranger, *ENDED) as error:
+            fields = anyio.run(link.send_operator_command, address, shared, "put", by, key, value).fields
+        except (OSError, MemberProtocolError, *ENDED) as error:
             why = f"{name}: not reached: {error or type(error).__name__}"
             continue
         if fields.get("put"):
@@ -311,16 +311,16 @@
     import anyio
     import msgspec
 
-    from frostfall.net import group as link
+    from frostfall.net import member_transport as link
     from frostfall.net.streams import ENDED
-    from frostfall.protocol.group import Stranger
+    from frostfall.protocol.member_messages import MemberProtocolError
 
     key, members = _members(operator, who)
     missing = 0
     for name, address in members:
         try:
-            fields = anyio.run(link.order, address, key, what, by).fields
-        except (OSError, Stranger, *ENDED) as error:
+            fields = anyio.run(link.send_operator_command, address, key, what, by).fields
+        except (OSError, MemberProtocolError, *ENDED) as error:
             missing += 1
             click.echo(f"{name}: not reached: {error or type(error).__name__}", err=True)
             continue
--- a/frostfall/copies/catalogue.py
+++ b/frostfall/copies/catalogue.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from frostfall.storage.frames import State
-from frostfall.storage.index import parts_of, place_of
+from frostfall.storage.record_index import pack_location, unpack_location
+from frostfall.storage.segment_codec import RecordState
 
 FAN, BITS, DEEPEST = 16, 4, 15  # children of a node, bits of a key that they take, and how far that goes
 LEAF = 16  # entries of a node that are told one by one instead of by further sums
@@ -35,11 +35,11 @@
 
 
 MARKS = {
-    State.OPEN: Mark.MAY_HAVE_RUN,
-    State.FAILED: Mark.MAY_HAVE_RUN,
-    State.LOST: Mark.MAY_HAVE_RUN,
-    State.SERVED: Mark.SERVED,
-    State.FENCED: Mark.FENCED,
+    RecordState.OPEN: Mark.MAY_HAVE_RUN,
+    RecordState.FAILED: Mark.MAY_HAVE_RUN,
+    RecordState.OUTCOME_UNKNOWN: Mark.MAY_HAVE_RUN,
+    RecordState.SERVED: Mark.SERVED,
+    RecordState.FENCED: Mark.FENCED,
 }
 
 
@@ -52,13 +52,13 @@
         self._places = array("Q", (places[key] for key in self._keys))
         self._totals, total = array("Q", (0,)), 0
         for key, place in zip(self._keys, self._places):
-            total = (total + key * (2 * MARKS[parts_of(place)[2]] + 1)) & _MASK
+            total = (total + key * (2 * MARKS[unpack_location(place)[2]] + 1)) & _MASK
             self._totals.append(total)
 
-    def with_more(self, states: Mapping[int, State]) -> Catalogue:
+    def with_more(self, states: Mapping[int, RecordState]) -> Catalogue:
         """The same with what was taken over meanwhile, whose places do not matter."""
         places = dict(zip(self._keys, self._places))
-        places.update((key, place_of(0, 0, state)) for key, state in states.items())
+        places.update((key, pack_location(0, 0, state)) for key, state in states.items())
         return Catalogue(places)
 
     def __len__(self) -> int:
@@ -86,7 +86,7 @@
     def entries(self, depth: int, prefix: int) -> list[tuple[int, int]]:
         """Key and mark of all under a node."""
         low, high = self._span(depth, prefix)
-        return [(self._keys[at], MARKS[parts_of(self._places[at])[2]]) for at in range(low, high)]
+        return [(self._keys[at], MARKS[unpack_location(self._places[at])[2]]) for at in range(low, high)]
 
     def place(self, key: int) -> int:
         """Where a key's record stands; 0 where there is none."""
@@ -96,7 +96,7 @@
     def lacks(self, key: int, mark: int) -> bool:
         """Whether another's entry says more than is known here."""
         place = self.place(key)
-        return not place or (mark == Mark.SERVED and MARKS[parts_of(place)[2]] is Mark.MAY_HAVE_RUN)
+        return not place or (mark == Mark.SERVED and MARKS[unpack_location(place)[2]] is Mark.MAY_HAVE_RUN)
 
 
 EMPTY = Catalogue({})
--- a/frostfall/copies/holding.py
+++ b/frostfall/copies/holding.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from frostfall.recovery.ledger import Look, Told, Word, answer_in, name_in, payload
-from frostfall.storage.frames import Record, State
-from frostfall.storage.journal import Journal, key_of
+from frostfall.storage.segment_codec import Record, RecordState
+from frostfall.storage.write_ahead_log import WriteAheadLog, operation_key
 
 MARK = "\0"  # no client's name holds it
 
@@ -39,7 +39,7 @@
 class Item:
     """What an owner asks to be kept: an operation's intent (OPEN) or its end."""
 
-    state: State
+    state: RecordState
     name: str
     answer: bytes | None = None
 
@@ -52,22 +52,22 @@
     again: bool = False
 
 
-def merged(found: State | None, told: State) -> State | None:
+def merged(found: RecordState | None, told: RecordState) -> RecordState | None:
     """What becomes of a copy when another party's is taken over; None: it stays as it is."""
-    if found is told or found is State.SERVED or told is State.NEVER:
+    if found is told or found is RecordState.SERVED or told is RecordState.NOT_EXECUTED:
         return None
-    if found is None or told is State.SERVED:
+    if found is None or told is RecordState.SERVED:
         return told
-    if State.FENCED in (found, told):
+    if RecordState.FENCED in (found, told):
         # Danger: a fence alone would say that it never ran, an intent alone would let it be begun once more.
-        return State.FAILED if found is not State.FAILED else None
-    return told if found is State.OPEN else None
+        return RecordState.FAILED if found is not RecordState.FAILED else None
+    return told if found is RecordState.OPEN else None
 
 
 class Holding:
     """One member's copies."""
 
-    def __init__(self, journal: Journal, look: Look) -> None:
+    def __init__(self, journal: WriteAheadLog, look: Look) -> None:
         """In this member's own log."""
         self._journal, self._look = journal, look
         self.open: dict[str, int] = {}  # copies of operations without an end, with their tickets
@@ -78,49 +78,57 @@
         name = kept_name(owner, item.name)
         if name in self._fencing:
             return None
-        if item.state is State.OPEN:
+        if item.state is RecordState.OPEN:
             if name in self.open:
                 return Kept(self.open[name])
             if self._find(name) is not None:
                 return None  # fenced, or it has ended: it is not begun any more
-            record = Record(State.OPEN, key_of(name), payload(name))
+            record = Record(RecordState.OPEN, operation_key(name), payload(name))
             self.open[name] = self._journal.append(record)
             return Kept(self.open[name])
-        if self.open.get(name, 0) > self._journal.durable:
+        if self.open.get(name, 0) > self._journal.durable_ticket:
             # Its intent is on its way to the disk and has no place there yet that the end could take.
             return Kept(self.open[name], again=True)
         found = self._find(name)
-        if found is not None and found[0] is State.FENCED:
+        if found is not None and found[0] is RecordState.FENCED:
             return None
         self.open.pop(name, None)
-        if (found is None and item.state is State.NEVER) or (
-            found is not None and found[0] in (item.state, State.SERVED)
+        if (found is None and item.state is RecordState.NOT_EXECUTED) or (
+            found is not None and found[0] in (item.state, RecordState.SERVED)
         ):
             return Kept(0)
-        data = payload(name, item.answer if item.state is State.SERVED else b"")
-        return Kept(self._journal.append(Record(item.state, key_of(name), data, found[2] if found else 0)))
-
-    def restore(self, owner: str, state: State, name: str, answer: bytes | None, aged: int) -> int | None:
+        data = payload(name, item.answer if item.state is RecordState.SERVED else b"")
+        return Kept(
+            self._journal.append(Record(item.state, operation_key(name), data, found[2] if found else 0))
+        )
+
+    def restore(
+        self, owner: str, state: RecordState, name: str, answer: bytes | None, aged: int
+    ) -> int | None:
         """Take over what another party has; the ticket to wait for, 0 where nothing was lacking.
 
         None: not just now, as what is here is still on its way to the disk.
         """
         full = kept_name(owner, name)
-        if full in self._fencing or self.open.get(full, 0) > self._journal.durable:
+        if full in self._fencing or self.open.get(full, 0) > self._journal.durable_ticket:
             return None
         found = self._find(full)
-        told = merged(found[0] if found else None, State.FAILED if state is State.LOST else state)
+        told = merged(
+            found[0] if found else None, RecordState.FAILED if state is RecordState.OUTCOME_UNKNOWN else state
+        )
         if told is None:
             return 0
         self.open.pop(full, None)
-        kept = payload(full, answer if told is State.SERVED else b"", 0 if told is State.OPEN else aged)
-        ticket = self._journal.append(Record(told, key_of(full), kept, found[2] if found else 0))
-        if told is State.OPEN:
+        kept = payload(
+            full, answer if told is RecordState.SERVED else b"", 0 if told is RecordState.OPEN else aged
+        )
+        ticket = self._journal.append(Record(told, operation_key(full), kept, found[2] if found else 0))
+        if told is RecordState.OPEN:
             self.open[full] = ticket
         return ticket
 
-    def _find(self, name: str) -> tuple[State, bytes, int] | None:
-        return self._look(key_of(name), lambda data: name_in(data) == name)
+    def _find(self, name: str) -> tuple[RecordState, bytes, int] | None:
+        return self._look(operation_key(name), lambda data: name_in(data) == name)
 
     def word(self, owner: str, name: str) -> Told:
         """What the copies say of an owner's operation: an open one may have run."""
@@ -128,9 +136,9 @@
         if full in self.open:
             return Told(Word.FAILED)
         found = self._find(full)
-        if found is None or found[0] is State.FENCED:
+        if found is None or found[0] is RecordState.FENCED:
             return Told(Word.NONE)
-        return Told(Word.SERVED, answer_in(found[1])) if found[0] is State.SERVED else Told(Word.FAILED)
+        return Told(Word.SERVED, answer_in(found[1])) if found[0] is RecordState.SERVED else Told(Word.FAILED)
 
     def fence(self, owner: str, name: str) -> int:
         """Let an operation that is unknown here never be begun by its owner; the ticket to wait for."""
@@ -139,7 +147,9 @@
             return self._fencing[full]
         if full in self.open or self._find(full) is not None:
             return 0
-        self._fencing[full] = self._journal.append(Record(State.FENCED, key_of(full), payload(full)))
+        self._fencing[full] = self._journal.append(
+            Record(RecordState.FENCED, operation_key(full), payload(full))
+        )
         return self._fencing[full]
 
     def fenced(self, owner: str, name: str) -> None:
@@ -149,5 +159,5 @@
     def carried(self) -> Iterable[Record]:
         """Open copies that are on disk: a new segment of the log begins with them."""
         for name, ticket in self.open.items():
-            if ticket <= self._journal.durable and (found := self._find(name)):
-                yield Record(State.OPEN, key_of(name), payload(name), found[2])
+            if ticket <= self._journal.durable_ticket and (found := self._find(name)):
+                yield Record(RecordState.OPEN, operation_key(name), payload(name), found[2])
--- a/frostfall/net/agreement.py
+++ b/frostfall/net/agreement.py
@@ -12,9 +12,9 @@
 from frostfall.agreement.log import Entry, Snapshot
 from frostfall.agreement.raft import Append, Appended, AskVote, Hard, Install, Raft, Vote
 from frostfall.agreement.register import Put, Register
-from frostfall.net.disk import Disk
-from frostfall.net.group import Line
-from frostfall.protocol.group import Agree
+from frostfall.net.log_writer import LogWriter
+from frostfall.net.member_transport import MemberConnection
+from frostfall.protocol.member_messages import ConsensusMessage
 from frostfall.recovery.facts import Agreed, Fact, Ruled, Voted
 
 TURN = 0.05  # seconds: an election begins after half a second to a second without a leader
@@ -30,9 +30,9 @@
         self,
         name: str,
         voters: tuple[str, ...],
-        disk: Disk,
+        disk: LogWriter,
         note: Callable[[Fact], int],
-        lines: dict[str, Line],
+        lines: dict[str, MemberConnection],
         seed: int,
     ) -> None:
         """`note` writes a fact down and gives its ticket; `recall` is handed what was written before."""
@@ -93,12 +93,12 @@
             self.raft.tick()
             self._changed.set()
 
-    def take(self, message: Agree) -> None:
+    def take(self, message: ConsensusMessage) -> None:
         """What another member says."""
         if self.raft is None:
             return
         try:
-            word = _DECODER.decode(message.word)
+            word = _DECODER.decode(message.payload)
         except msgspec.MsgspecError as error:
             _log.warning("a word that cannot be read", member=message.sender, why=str(error))
             return
@@ -117,11 +117,11 @@
         for index, entry in out.entries:
             self.recall(ruled := Ruled(index, msgspec.to_builtins(entry)))
             ticket = self._note(ruled)
-        if ticket and not await self._disk.durable(ticket):
+        if ticket and not await self._disk.wait_durable(ticket):
             return False
         for name, word in out.messages:
             if line := self._lines.get(name):
-                line.post(Agree(self._name, msgspec.msgpack.encode(word)))
+                line.send(ConsensusMessage(self._name, msgspec.msgpack.encode(word)))
         if out.restored is not None:
             self.register = Register(out.restored.state)
         for index, entry in out.committed:
--- a/frostfall/net/copies.py
+++ b/frostfall/net/copies.py
@@ -13,12 +13,18 @@
 from frostfall.copies.repair import Repair
 from frostfall.copies.rules import Copies as Rules
 from frostfall.copies.settling import settled
-from frostfall.membership.members import Health, Members
-from frostfall.net.disk import Disk
-from frostfall.net.group import Line
-from frostfall.protocol.group import Copied, Copy, Message, Read, Tell
+from frostfall.membership.member_list import MemberList, MemberState
+from frostfall.net.log_writer import LogWriter
+from frostfall.net.member_transport import MemberConnection
+from frostfall.protocol.member_messages import (
+    FencedRead,
+    MemberMessage,
+    ReplicateReply,
+    ReplicateRequest,
+    StatusReply,
+)
 from frostfall.recovery.ledger import Told, Word
-from frostfall.storage.frames import State
+from frostfall.storage.segment_codec import RecordState
 
 AGAIN = 0.05  # seconds between two tries to reach a holder
 AGAIN_MOST = 2.0  # the same for what nobody waits for: doubled up to this
@@ -65,14 +71,14 @@
     """One agent's ensemble, and its part in those of others."""
 
     def __init__(
-        self, own: str, rules: Rules, repair: Repair, members: Members, disk: Disk, holding: Holding
+        self, own: str, rules: Rules, repair: Repair, members: MemberList, disk: LogWriter, holding: Holding
     ) -> None:
         """`lines` and `group` are set before anything else is called."""
         self._own, self._rules, self._repair, self._members, self._disk = own, rules, repair, members, disk
         self.holding = holding
         self.ensemble = repair.ensembles[own]
         self.needed = min(rules.acknowledged, len(self.ensemble))
-        self.lines: dict[str, Line] = {}
+        self.lines: dict[str, MemberConnection] = {}
         self.group: TaskGroup | None = None
         self._behind = 0
 
@@ -80,7 +86,8 @@
     def heard(self) -> tuple[int, int]:
         """How many holders are heard whose word counts, and how many a promise needs."""
         here = sum(
-            self._members.peers[name].health is Health.HERE and self._sound(name) for name in self.ensemble
+            self._members.peers[name].state is MemberState.ALIVE and self._sound(name)
+            for name in self.ensemble
         )
         return here, min(self.needed, here) if self._rules.few == "take" else self.needed
 
@@ -93,7 +100,7 @@
     def _lines_here(self) -> list[str]:
         """Members that are heard, in whatever stand; with `spare` any of them may hold something."""
         return (
-            [name for name in self.lines if self._members.peers[name].health is Health.HERE]
+            [name for name in self.lines if self._members.peers[name].state is MemberState.ALIVE]
             if self._rules.spare
             else []
         )
@@ -107,12 +114,12 @@
         """
         refused, asking = [False], _Asking(self.ensemble)
 
-        def told(name: str, answer: Message | None) -> None:
-            if isinstance(answer, Copied) and not answer.refused:
-                acknowledged[name] = answer.token
-            elif isinstance(answer, Copied):
+        def told(name: str, answer: MemberMessage | None) -> None:
+            if isinstance(answer, ReplicateReply) and not answer.rejected:
+                acknowledged[name] = answer.incarnation_token
+            elif isinstance(answer, ReplicateReply):
                 refused[0] = True
-            asking.came(name, isinstance(answer, Copied))
+            asking.came(name, isinstance(answer, ReplicateReply))
 
         while not over():
             asking.ask(lambda name: self._send(name, item, partial(told, name)))
@@ -136,17 +143,17 @@
     def _counts(self, name: str, token: str) -> bool:
         # Danger: a holder that has lost its disk since, and with it its fences, would acknowledge what others
         # have settled as never begun. So its own word counts, and what is known of its folder here.
-        return token == self._members.peers[name].kept.token and self._sound(name)
+        return token == self._members.peers[name].recorded_incarnation.token and self._sound(name)
 
     def _sound(self, name: str) -> bool:
         peer = self._members.peers[name]
-        return not (peer.doubt or peer.outdated or peer.remark)
+        return not (peer.incomplete_reason or peer.stale_reason or peer.latest_stale_reason)
 
-    def _send(self, name: str, item: Item, told: Callable[[Message | None], None]) -> None:
+    def _send(self, name: str, item: Item, told: Callable[[MemberMessage | None], None]) -> None:
         if line := self.lines.get(name):
-            line.call(
-                lambda number: Copy(
-                    number, self._own, item.state, item.name, item.answer, self._members.token
+            line.request(
+                lambda number: ReplicateRequest(
+                    number, self._own, item.state, item.name, item.answer, self._members.incarnation_token
                 ),
                 told,
             )
@@ -165,12 +172,12 @@
         pause = AGAIN
         try:
             while True:
-                answers: list[Message | None] = []
+                answers: list[MemberMessage | None] = []
                 event = anyio.Event()
 
                 def told(
-                    answer: Message | None,
-                    answers: list[Message | None] = answers,
+                    answer: MemberMessage | None,
+                    answers: list[MemberMessage | None] = answers,
                     event: anyio.Event = event,
                 ) -> None:
                     answers.append(answer)
@@ -178,7 +185,7 @@
 
                 self._send(name, item, told)
                 await event.wait()
-                if isinstance(answers[0], Copied) and (answers[0].refused or answers[0].kept):
+                if isinstance(answers[0], ReplicateReply) and (answers[0].rejected or answers[0].stored):
                     return
                 await anyio.sleep(pause)
                 pause = min(pause * 2, AGAIN_MOST)
@@ -187,34 +194,43 @@
 
     # ---- what is held for others ----------------------------------------------------------------------
 
-    async def keep(self, message: Copy) -> Message:
+    async def keep(self, message: ReplicateRequest) -> MemberMessage:
         """Keep what another member sends, and say so once it is on disk."""
-        item, token = Item(State(message.state), message.name, message.answer), self._members.token
+        item, token = (
+            Item(RecordState(message.state), message.operation, message.answer),
+            self._members.incarnation_token,
+        )
         peer = self._members.peers.get(message.owner)
-        if peer is None or message.token != peer.kept.token:
+        if peer is None or message.incarnation_token != peer.recorded_incarnation.token:
             # Danger: a life that is over must not be told that its intent is kept: a later one may have been
             # told that this holder has nothing of it. No token: this word counts for nothing.
-            return Copied(message.number, False, kept=False)
+            return ReplicateReply(message.request_id, False, stored=False)
         while (kept := self.holding.keep(message.owner, item)) is not None:
-            self._disk.poke()
-            if not await self._disk.durable(kept.ticket):
+            self._disk.wake()
+            if not await self._disk.wait_durable(kept.ticket):
                 await anyio.sleep_forever()  # a failed disk acknowledges nothing
             if not kept.again:
                 # Danger: one that has not taken over all yet does not know what is fenced.
-                return Copied(message.number, False, token if self._repair.whole(message.owner) else "")
-        return Copied(message.number, True, token)
-
-    async def told(self, message: Read, known: Callable[[], bool], lives: dict[str, str]) -> Message:
+                return ReplicateReply(
+                    message.request_id, False, token if self._repair.whole(message.owner) else ""
+                )
+        return ReplicateReply(message.request_id, True, token)
+
+    async def told(
+        self, message: FencedRead, known: Callable[[], bool], lives: dict[str, str]
+    ) -> MemberMessage:
         """What the copies say; `known`: whether the reader's word and one's own record can be trusted."""
-        told = self.holding.word(message.owner, message.name)
+        told = self.holding.word(message.owner, message.operation)
         if told.word is Word.NONE and message.fence:
-            ticket = self.holding.fence(message.owner, message.name)
-            self._disk.poke()
-            if not await self._disk.durable(ticket):
+            ticket = self.holding.fence(message.owner, message.operation)
+            self._disk.wake()
+            if not await self._disk.wait_durable(ticket):
                 await anyio.sleep_forever()
-            self.holding.fenced(message.owner, message.name)
+            self.holding.fenced(message.owner, message.operation)
         word = Word.UNSURE if told.word is Word.NONE and not known() else told.word
-        return Tell(message.number, [(word.value, told.answer)], self._members.token, lives)
+        return StatusReply(
+            message.request_id, [(word.value, told.answer)], self._members.incarnation_token, lives
+        )
 
     # ---- settling -------------------------------------------------------------------------------------
 
@@ -255,19 +271,31 @@
         spares = [name for name in self._lines_here if name not in (owner, *ensemble)]
         asking = _Asking([*ensemble, *spares])
 
-        def told(holder: str, answer: Message | None) -> None:
-            if isinstance(answer, Tell):
-                word, given = answer.told[0]
-                trusted = holder == self._own or self._members.peers[holder].kept.token == answer.token
+        def told(holder: str, answer: MemberMessage | None) -> None:
+            if isinstance(answer, StatusReply):
+                word, given = answer.statuses[0]
+                trusted = (
+                    holder == self._own
+                    or self._members.peers[holder].recorded_incarnation.token == answer.incarnation_token
+                )
                 sure = trusted or word in (Word.SERVED.value, Word.FAILED.value)
                 # Danger: a spare holds what it was given; that it lacks something proves nothing.
                 sure = sure and (holder in ensemble or word != Word.NONE.value)
-                words[holder] = _Said(Told(Word(word) if sure else Word.UNSURE, given), answer.token)
-            asking.came(holder, isinstance(answer, Tell))
+                words[holder] = _Said(
+                    Told(Word(word) if sure else Word.UNSURE, given), answer.incarnation_token
+                )
+            asking.came(holder, isinstance(answer, StatusReply))
 
         def ask(holder: str) -> None:
-            def make(number: int) -> Read:
-                return Read(number, owner, name, fence and holder in ensemble, self._own, self._members.token)
+            def make(number: int) -> FencedRead:
+                return FencedRead(
+                    number,
+                    owner,
+                    name,
+                    fence and holder in ensemble,
+                    self._own,
+                    self._members.incarnation_token,
+                )
 
             if holder == self._own and self.group:
 
@@ -276,7 +304,7 @@
 
                 self.group.start_soon(own)
             elif line := self.lines.get(holder):
-                line.call(make, partial(told, holder))
+                line.request(make, partial(told, holder))
             else:
                 told(holder, None)
 
--- a/frostfall/net/operations.py
+++ b/frostfall/net/operations.py
@@ -11,10 +11,10 @@
 
 from frostfall import interface as api
 from frostfall.copies.holding import Holding, Item
-from frostfall.membership.members import Health, Members
+from frostfall.membership.member_list import MemberList, MemberState
 from frostfall.net.copies import Copies
-from frostfall.net.disk import Disk
-from frostfall.net.group import Line, Told
+from frostfall.net.log_writer import LogWriter
+from frostfall.net.member_transport import MemberConnection, PeerOperationStatus
 from frostfall.protocol.ending import Ending, Final
 from frostfall.protocol.pg import READY
 from frostfall.protocol.pg_client import Row
@@ -25,7 +25,7 @@
 from frostfall.recovery.ledger import Ledger, Operation, Way, Word
 from frostfall.recovery.rules import Group
 from frostfall.recovery.spread import Spread
-from frostfall.storage.frames import State
+from frostfall.storage.segment_codec import RecordState
 
 EARLY = 10_000  # microseconds before its deadline at which a try that waits is given up
 POLL = 0.05  # seconds between two questions about an operation that is under way elsewhere
@@ -73,14 +73,14 @@
     return max(ended, key=lambda told: (told.word is Word.SERVED, told.answer is not None), default=None)
 
 
-def _ended(words: dict[str, Told]) -> operations.Told | None:
+def _ended(words: dict[str, PeerOperationStatus]) -> operations.Told | None:
     """The best word of members that know how an operation ended."""
-    return _best(operations.Told(Word(told.word), told.answer) for told in words.values())
+    return _best(operations.Told(Word(told.status), told.answer) for told in words.values())
 
 
-def _silent(words: dict[str, Told], others: list[str]) -> list[str]:
+def _silent(words: dict[str, PeerOperationStatus], others: list[str]) -> list[str]:
     """Members that cannot tell what they know of an operation."""
-    return [member for member in others if member not in words or words[member].word == Word.UNSURE.value]
+    return [member for member in others if member not in words or words[member].status == Word.UNSURE.value]
 
 
 class Operations:
@@ -97,11 +97,11 @@
         spread: Spread,
         ledger: Ledger,
         holding: Holding,
-        disk: Disk,
-        members: Members,
+        disk: LogWriter,
+        members: MemberList,
         gates: Gates,
         facts: Facts,
-        lines: dict[str, Line],
+        lines: dict[str, MemberConnection],
         copies: Copies | None,
         unreadable: Callable[[Exception], None],
         whole: Callable[[str], bool],
@@ -148,7 +148,7 @@
             # Danger: it never ran here, but an earlier try may have run elsewhere.
             client.answer(failed() if again else self._come_again())
         elif way is Way.ASK and sure and self.copies and (copy := self._copy_of(name)):
-            self.ledger.end(self.ledger.live[name], State.NEVER)
+            self.ledger.end(self.ledger.live[name], RecordState.NOT_EXECUTED)
             client.answer(self._told(copy))
         elif way is Way.JOIN:
             self._join(name, client, statement.request, deadline)
@@ -158,7 +158,7 @@
             return False
         else:
             if sure:
-                self.ledger.end(self.ledger.live[name], State.NEVER)
+                self.ledger.end(self.ledger.live[name], RecordState.NOT_EXECUTED)
             # Danger: an earlier try may have run, so that to call another one harmless could be a lie.
             if not again:
                 client.answer(self._come_again())
@@ -227,7 +227,7 @@
         ):
             return False
         ticket = self.ledger.intend(operation)
-        self.disk.poke()
+        self.disk.wake()
         if not await self._down(operation, ticket, over, deadline):
             if operation.fenced:  # others have settled it, and know more
                 await self._find_out(request, operation, deadline)
@@ -244,8 +244,8 @@
             not over()
             and self.ledger.under_way(operation)
             and self.ledger.may_write(operation)
-            and not self.members.contested
-            and not self.members.replaced_by
+            and not self.members.contested_incarnation
+            and not self.members.superseded_by
             and self._stands(operation)
         )
         operation.written = operation.written or let
@@ -258,7 +258,7 @@
     async def _down(self, operation: Operation, ticket: int, over: Callable[[], bool], deadline: int) -> bool:
         """Wait until an intent is on disk here and, where copies are kept, at enough holders."""
         if self.copies is None or (operation.copied and self._stands(operation)):
-            return await self.disk.durable(ticket)
+            return await self.disk.wait_durable(ticket)
 
         def late() -> bool:
             return over() or self._clock() >= deadline - EARLY
@@ -269,11 +269,11 @@
             async def promise() -> None:
                 assert self.copies
                 promised[0] = await self.copies.promise(
-                    Item(State.OPEN, operation.name), late, operation.acknowledged
+                    Item(RecordState.OPEN, operation.name), late, operation.acknowledged
                 )
 
             group.start_soon(promise)
-            durable = await self.disk.durable(ticket)
+            durable = await self.disk.wait_durable(ticket)
         operation.copied = promised[0]
         operation.fenced = not promised[0] and not late()
         return durable and promised[0]
@@ -286,10 +286,12 @@
         until = self._steady() + within
         while True:
             words = await self._words(name, others, until - self._steady())
-            none = len(words) == len(others) and all(told.word == Word.NONE.value for told in words.values())
-            tokens = {member: told.token for member, told in words.items()}
-            lives = {member: told.lives for member, told in words.items()}
-            if none and not self._gone and self.members.agree(tokens, lives):
+            none = len(words) == len(others) and all(
+                told.status == Word.NONE.value for told in words.values()
+            )
+            tokens = {member: told.incarnation_token for member, told in words.items()}
+            lives = {member: told.recorded_tokens for member, told in words.items()}
+            if none and not self._gone and self.members.incarnations_agreed(tokens, lives):
                 for member in others:
                     self.ledger.answered(operation, member, operations.Told(Word.NONE))
                 break
@@ -303,10 +305,10 @@
         known = await self._settle(operation, words, others, deadline)
         if operation.cleared:
             return self.ledger.under_way(operation)
-        under_way = [member for member, told in words.items() if told.word == Word.OPEN.value]
+        under_way = [member for member, told in words.items() if told.status == Word.OPEN.value]
         if known is None and under_way:
             # Both have their intents down: this one steps back, and tells what becomes of the other.
-            self._end(operation, State.NEVER)
+            self._end(operation, RecordState.NOT_EXECUTED)
             while known is None and under_way and self._clock() < deadline - EARLY - POLL * 1e6:
                 await anyio.sleep(POLL)
                 words = await self._words(name, under_way, POLL * 4)
@@ -314,7 +316,7 @@
                 under_way = [
                     member
                     for member in under_way
-                    if member not in words or words[member].word == Word.OPEN.value
+                    if member not in words or words[member].status == Word.OPEN.value
                 ]
         answer = self._told(known) if known else failed()
         served = known is not None and known.word is Word.SERVED and known.answer is not None
@@ -323,7 +325,7 @@
 
     async def _find_out(self, request: str, operation: Operation, deadline: int) -> None:
         """Give a request what others know of its operation, which is not to be begun here."""
-        self._end(operation, State.NEVER)
+        self._end(operation, RecordState.NOT_EXECUTED)
         known = await self._known_elsewhere(operation.name, deadline)
         served = known is not None and known.word is Word.SERVED and known.answer is not None
         self._front.conclude(
@@ -361,7 +363,7 @@
         return found
 
     async def _settle(
-        self, operation: Operation, words: dict[str, Told], others: list[str], deadline: int
+        self, operation: Operation, words: dict[str, PeerOperationStatus], others: list[str], deadline: int
     ) -> operations.Told | None:
         """How it ended by the words and by what those who cannot tell have left at their holders.
 
@@ -373,15 +375,15 @@
             if known.word is Word.SERVED:
                 return known
             return _best([known, *await self._read(operation.name, silent + self._gone, False, deadline)])
-        none = {member: told for member, told in words.items() if told.word == Word.NONE.value}
+        none = {member: told for member, told in words.items() if told.status == Word.NONE.value}
         if (
             self.copies is None
             or len(none) + len(silent) < len(others)
-            or not self.members.clear
+            or not self.members.no_stale_peers
             or (
-                not self.members.agree(
-                    {member: told.token for member, told in none.items()},
-                    {member: told.lives for member, told in none.items()},
+                not self.members.incarnations_agreed(
+                    {member: told.incarnation_token for member, told in none.items()},
+                    {member: told.recorded_tokens for member, told in none.items()},
                 )
             )
         ):
@@ -409,23 +411,23 @@
         return max(deadline - EARLY - self._clock(), 0) / 1e6
 
     def _sure(self, owner: str) -> bool:
-        return self._whole(owner) and self.members.clear
+        return self._whole(owner) and self.members.no_stale_peers
 
-    async def _words(self, name: str, members: list[str], within: float) -> dict[str, Told]:
-        found: dict[str, Told] = {}
+    async def _words(self, name: str, members: list[str], within: float) -> dict[str, PeerOperationStatus]:
+        found: dict[str, PeerOperationStatus] = {}
         missing = set(members)
         all_there = anyio.Event()
         if not members:
             return found
 
-        def told(member: str, word: Told | None) -> None:
-            if word is None and self.members.peers[member].health is not Health.AWAY:
+        def told(member: str, word: PeerOperationStatus | None) -> None:
+            if word is None and self.members.peers[member].state is not MemberState.DEAD:
                 lost.append(member)  # it may be on its way up
                 return
             missing.discard(member)
             if word is not None:
                 found[member] = word
-            if not missing or (word is not None and word.word == Word.SERVED.value):
+            if not missing or (word is not None and word.status == Word.SERVED.value):
                 all_there.set()
 
         lost = list(members)
@@ -433,7 +435,7 @@
             while not all_there.is_set():
                 again, lost = lost, []
                 for member in again:
-                    self._lines[member].ask(name, partial(told, member))
+                    self._lines[member].query_status(name, partial(told, member))
                 with anyio.move_on_after(POLL if lost else None):
                     await all_there.wait()
         return found
@@ -444,7 +446,7 @@
         if operation is None:
             return
         if isinstance(ending.answer, Row):
-            self._end(operation, State.SERVED, ending.answer.data)
+            self._end(operation, RecordState.SERVED, ending.answer.data)
         elif not ending.outcome.never_ran:
             operation.may_have_run = True
 
@@ -463,7 +465,7 @@
         if end is Final.SERVED:
             if under_way:
                 operation.waiting.insert(0, one)
-                self._end(operation, State.SERVED, answer[: -len(READY)])
+                self._end(operation, RecordState.SERVED, answer[: -len(READY)])
             else:
                 one.tell(answer)
                 self._tell(operation, answer)  # it was served elsewhere
@@ -472,7 +474,7 @@
             answer = failed()  # an earlier try may have run at another member
         if under_way:
             ran = end is Final.FAILED and operation.written
-            self._end(operation, State.FAILED if ran else State.NEVER)
+            self._end(operation, RecordState.FAILED if ran else RecordState.NOT_EXECUTED)
         one.tell(answer)
         self._tell(operation, answer)
 
@@ -480,23 +482,23 @@
         """A request is over with all its attempts."""
         operation = self._operations.pop(request, None)
         if operation and self.ledger.under_way(operation):  # its client left before it had an end
-            self._end(operation, State.FAILED if operation.may_have_run else State.NEVER)
+            self._end(operation, RecordState.FAILED if operation.may_have_run else RecordState.NOT_EXECUTED)
             self._tell(operation, failed())
 
-    def _end(self, operation: Operation, state: State, answer: bytes | None = None) -> None:
+    def _end(self, operation: Operation, state: RecordState, answer: bytes | None = None) -> None:
         if not self.ledger.under_way(operation):
             return
         ticket = self.ledger.end(operation, state, answer)
         given = None if answer is None else answer + READY
         copied = self.copies is not None and ticket > 0
-        if self.copies and copied and state is not State.SERVED:
+        if self.copies and copied and state is not RecordState.SERVED:
             self.copies.tell(Item(state, operation.name))
 
         def on_disk(good: bool) -> None:
             more = self.ledger.done(operation) if good else 0
             if more:
-                self.disk.when(more, on_disk)
-                self.disk.poke()
+                self.disk.when_durable(more, on_disk)
+                self.disk.wake()
             elif given is not None and copied and self.group:
                 self.group.start_soon(self._copied, operation, answer, given)
             elif given is not None:
@@ -504,8 +506,8 @@
                 self._tell(operation, given)
 
         if ticket:
-            self.disk.when(ticket, on_disk)
-            self.disk.poke()
+            self.disk.when_durable(ticket, on_disk)
+            self.disk.wake()
         elif given is not None:
             self._tell(operation, given)
 
@@ -513,7 +515,7 @@
         """Give a served answer once enough holders have it."""
         assert self.copies
         kept = answer if answer is not None and len(answer) <= self.rules.store.answer_bytes else None
-        item = Item(State.SERVED, operation.name, kept)
+        item = Item(RecordState.SERVED, operation.name, kept)
         # Settled by others meanwhile, it was told to have perhaps run: that is what this client is told too.
         good = await self.copies.promise(item, lambda: self._clock() >= operation.until, {})
         self._tell(operation, given if good else failed())
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -20,38 +20,38 @@
 from frostfall.copies.repair import Repair
 from frostfall.copies.words import NONE, Words
 from frostfall.limits.stall_adjusted_clock import StallAdjustedClock
-from frostfall.membership.members import Answer, Health, Life, Members
-from frostfall.net import disk
+from frostfall.membership.member_list import HeartbeatVerdict, Incarnation, MemberList, MemberState
+from frostfall.net import log_writer
 from frostfall.net.agreement import Agreement
 from frostfall.net.copies import Copies
-from frostfall.net.disk import Disk
-from frostfall.net.group import CALLERS_PART, Line, Listener, Reply
+from frostfall.net.log_writer import LogWriter
+from frostfall.net.member_transport import CONNECTIONS_PER_MEMBER, MemberConnection, MemberListener, Response
 from frostfall.net.operations import Front, Operations
 from frostfall.net.repair import Repairing
-from frostfall.protocol.group import (
-    Agree,
-    Ask,
-    Beat,
-    Compare,
-    Copy,
-    Have,
-    Message,
-    Order,
-    Read,
-    Report,
-    Tell,
-    Want,
-)
 from frostfall.protocol.listing import Listing
+from frostfall.protocol.member_messages import (
+    ConsensusMessage,
+    DigestRequest,
+    EndpointListReply,
+    EndpointListRequest,
+    FencedRead,
+    Heartbeat,
+    MemberMessage,
+    OperatorCommand,
+    OperatorReport,
+    ReplicateRequest,
+    StatusQuery,
+    StatusReply,
+)
 from frostfall.recovery import facts as written
 from frostfall.recovery.facts import Doubt, Fact, GoneBack, Hold, Keeps, KnownList, Seen
 from frostfall.recovery.gates import Facts, Gate, Gates, Stand
 from frostfall.recovery.ledger import Ledger, Word
 from frostfall.recovery.rules import Group
 from frostfall.recovery.spread import Spread
-from frostfall.storage import frames
-from frostfall.storage.frames import Record, State
-from frostfall.storage.journal import Condition, Journal
+from frostfall.storage import segment_codec
+from frostfall.storage.segment_codec import Record, RecordState
+from frostfall.storage.write_ahead_log import LogCondition, WriteAheadLog
 
 AT_EASE = 100.0  # refusals a second for which the shortest time to come again will do
 CLOCK_APART = 5.0  # seconds between two clocks that are worth a line
@@ -66,9 +66,9 @@
 class Parts:
     """What a record and a link are made of; models put others in their place."""
 
-    folder: Callable[[Path], disk.Folder] = lambda path: disk.folder(path)
-    line: Callable[..., Line] = Line
-    listener: Callable[..., Listener] = Listener
+    folder: Callable[[Path], log_writer.SegmentDirectory] = lambda path: log_writer.segment_directory(path)
+    line: Callable[..., MemberConnection] = MemberConnection
+    listener: Callable[..., MemberListener] = MemberListener
     blocking: Callable[..., Awaitable[Any]] = run_sync
     wall: Callable[[], float] = lambda: time.time()
     steady: Callable[[], float] = time.monotonic
@@ -84,22 +84,22 @@
         rules = config.options.group
         assert isinstance(rules, Group)
         self.rules, self._front, self._clock, self._name = rules, front, clock, config.name
-        self.journal = Journal(config.name, rules.store, self._facts)
+        self.journal = WriteAheadLog(config.name, rules.store, self._facts)
         self._parts = parts = parts or Parts()
         self._wall, self._steady = parts.wall, parts.steady
-        self.disk = Disk(parts.folder(Path(rules.data)), self.journal, parts.steady, parts.blocking)
+        self.disk = LogWriter(parts.folder(Path(rules.data)), self.journal, parts.steady, parts.blocking)
         self.ledger = Ledger(
             self.journal,
-            self.disk.find,
+            self.disk.find_record,
             rules.retries_marked,
             rules.store.answer_bytes,
             rules.copies is not None,
         )
-        self.holding = Holding(self.journal, self.disk.find)
-        self.members = Members(config.name, tuple(member.name for member in rules.here), rules.turns)
+        self.holding = Holding(self.journal, self.disk.find_record)
+        self.members = MemberList(config.name, tuple(member.name for member in rules.here), rules.turns)
         self.gates = Gates(len(rules.here), rules.retries_marked, rules.waits)
         self.facts = Facts()
-        self._lines: dict[str, Line] = {}
+        self._lines: dict[str, MemberConnection] = {}
         zones = {member.name: member.zone for member in rules.members}
         gone = frozenset(member.name for member in rules.members if member.gone)
         repair = Repair(config.name, zones, rules.copies, gone) if rules.copies else None
@@ -132,7 +132,7 @@
             if rules.agreement
             else None
         )
-        self._last = Life()  # one's own last life, as the folder says
+        self._last = Incarnation()  # one's own last life, as the folder says
         self._gone_back = 0
         self._list: KnownList | None = None
         self._news: api.RolloutState | None = None
@@ -181,7 +181,7 @@
             group.start_soon(self._judge_on)
             group.start_soon(self._listen)
             await self._recover()
-            if self.disk.opened:
+            if self.disk.is_open:
                 group.start_soon(self.disk.run)
                 group.start_soon(self._live)
                 for member in self.rules.here:
@@ -212,8 +212,8 @@
             await self.disk.open(self._recall)
         except OSError as error:
             self.facts.unusable = str(error)
-        if not self.journal.condition.usable:
-            self.facts.unusable = f"{self.journal.condition.value}: {self.journal.why}"
+        if not self.journal.condition.is_usable:
+            self.facts.unusable = f"{self.journal.condition.value}: {self.journal.condition_reason}"
         if self.facts.unusable:
             self.ledger.doubt = self.facts.unusable
             _log.error("the record cannot be used: no unsafe work is taken", why=self.facts.unusable)
@@ -222,16 +222,16 @@
                 self.facts.unsettled = self.ledger.settle_past(self._payload, self._open_copy)
             except (OSError, ValueError) as error:
                 self.facts.unusable = self.ledger.doubt = f"an open operation cannot be read: {error}"
-                self.disk.opened = False
+                self.disk.is_open = False
                 _log.error("the record cannot be used: no unsafe work is taken", why=self.facts.unusable)
-        self._last.batch = self.journal.on_disk
-        if self.journal.condition is Condition.FRESH and not self.rules.new and not self.facts.unusable:
+        self._last.durable_batch = self.journal.last_durable_batch
+        if self.journal.condition is LogCondition.FRESH and not self.rules.new and not self.facts.unusable:
             # Danger: with all folders lost at once, nobody is left to tell a lost one from a first start.
             self._in_doubt("there was no record: a first start, or a lost folder")
             self._note_doubt()
             _log.warning("no record: operators have to accept that, or to set `new` in the group's section")
         if self.repairing:
-            fresh = self.journal.condition is Condition.FRESH
+            fresh = self.journal.condition is LogCondition.FRESH
             self.repairing.repair.keeps(
                 self.repairing.repair.owners if fresh else self._keeps.owners, self._keeps.members
             )
@@ -248,11 +248,11 @@
         _log.info(
             "record read",
             condition=self.journal.condition.value,
-            segments=self.journal.segments,
-            torn_bytes=self.journal.torn,
+            segments=self.journal.segment_count,
+            torn_bytes=self.journal.torn_bytes,
             operations=len(self.journal.index),
             lost=len(self.ledger.lost),
-            last_life=self._last.incarnation,
+            last_life=self._last.number,
         )
         self._touch()
 
@@ -263,8 +263,8 @@
         return is_copy(name)
 
     def _payload(self, segment: int, offset: int) -> bytes:
-        raw = self.disk.folder.part(segment, offset, 1024)
-        record = frames.record_at(raw, self.journal.version_of(segment))
+        raw = self.disk.directory.read_range(segment, offset, 1024)
+        record = segment_codec.decode_record(raw, self.journal.format_version_of(segment))
         if record is None:
             raise ValueError(f"segment {segment}, byte {offset}")
         return record[2]
@@ -272,9 +272,9 @@
     def _recall(self, data: bytes) -> None:
         match written.decode(data):
             case written.Life(incarnation, token):
-                self._last.incarnation, self._last.token = incarnation, token
+                self._last.number, self._last.token = incarnation, token
             case Seen(member, incarnation, batch, token, outdated):
-                self.members.recall(member, Life(incarnation, batch, token), outdated)
+                self.members.restore(member, Incarnation(incarnation, batch, token), outdated)
             case Doubt(why, mute):
                 self._in_doubt(why)
                 self._doubt_on_disk, self._mute = True, mute
@@ -293,15 +293,21 @@
 
     def _facts(self) -> Iterable[Record]:
         own = (
-            (self.members.incarnation, self.members.token)
+            (self.members.incarnation, self.members.incarnation_token)
             if self.members.incarnation
-            else (self._last.incarnation, self._last.token)
+            else (self._last.number, self._last.token)
         )
         kept: list[Fact] = [written.Life(*own)] if own[0] else []
         kept += [
-            Seen(name, peer.kept.incarnation, peer.kept.batch, peer.kept.token, peer.outdated)
+            Seen(
+                name,
+                peer.recorded_incarnation.number,
+                peer.recorded_incarnation.durable_batch,
+                peer.recorded_incarnation.token,
+                peer.stale_reason,
+            )
             for name, peer in self.members.peers.items()
-            if peer.kept.incarnation
+            if peer.recorded_incarnation.number
         ]
         if self.facts.doubt or self._mute:
             kept.append(Doubt(self.facts.doubt, self._mute))
@@ -315,36 +321,36 @@
         if self.agreement:
             kept += self.agreement.facts()
         return [
-            *(Record(State.FACT, 0, written.encode(fact)) for fact in kept),
+            *(Record(RecordState.METADATA, 0, written.encode(fact)) for fact in kept),
             *self.ledger.carried(),
             *self.holding.carried(),
         ]
 
     def _note(self, fact: Fact) -> int:
-        ticket = self.journal.append(Record(State.FACT, 0, written.encode(fact)))
-        self.disk.poke()
+        ticket = self.journal.append(Record(RecordState.METADATA, 0, written.encode(fact)))
+        self.disk.wake()
         return ticket
 
     async def _live(self) -> None:
         """Begin a life: its number is on disk before anybody is told."""
-        number = self._last.incarnation
+        number = self._last.number
         while True:
-            number, token = max(number, self.members.must_exceed) + 1, uuid4().hex[:16]
-            if not await self.disk.durable(self._note(written.Life(number, token))):
+            number, token = max(number, self.members.incarnation_floor) + 1, uuid4().hex[:16]
+            if not await self.disk.wait_durable(self._note(written.Life(number, token))):
                 return
-            self.members.incarnation, self.members.token = number, token
+            self.members.incarnation, self.members.incarnation_token = number, token
             self.facts.identity, self.facts.unsettled = True, 0
             self._touch()
             for line in self._lines.values():
-                line.poke()
-            while self.members.must_exceed < number:
+                line.send_heartbeat_now()
+            while self.members.incarnation_floor < number:
                 await self._changed.wait()
             self.facts.identity = False
 
     async def _listen(self) -> None:
         own = next(member for member in self.rules.members if member.name == self._name)
         host, _, port = (self.rules.listen or own.address).rpartition(":")
-        most = CALLERS_PART * len(self.rules.here) + 4
+        most = CONNECTIONS_PER_MEMBER * len(self.rules.here) + 4
         listener = self._parts.listener(self.rules.key, most, self._answer)
         while True:
             try:
@@ -359,7 +365,7 @@
         while True:
             attention.advance(self._steady())
             if not attention.stalled:
-                for name, health in self.members.turn():
+                for name, health in self.members.advance_period():
                     _log.warning("member", member=name, health=health.value)
             self._note_list()
             if (turn := turn + 1) % NOTE_EVERY == 0:
@@ -381,9 +387,9 @@
 
     def _judge(self) -> None:
         facts, now = self.facts, self._steady() - self._began
-        facts.fault, facts.full = self.journal.fault, self.journal.full
-        facts.acknowledging = self.members.acknowledging
-        here = set(self.members.here)
+        facts.fault, facts.full = self.journal.failure_reason, self.journal.is_full
+        facts.acknowledging = self.members.acknowledgement_count
+        here = set(self.members.alive)
         facts.unheard = tuple(name for name in self.members.peers if name not in here)
         facts.window_over = now >= self._window
         if self.copies:
@@ -391,12 +397,12 @@
             if self.copies.few != ("few" in self._noted):
                 self._noted ^= {"few"}
                 _log.warning("copies", fewer=self.copies.few, holders=facts.holders[0])
-        facts.contested = self.members.contested
-        if self.members.replaced_by and not facts.replaced:
-            facts.replaced = f"life {self.members.replaced_by} of this member has begun elsewhere"
+        facts.contested = self.members.contested_incarnation
+        if self.members.superseded_by and not facts.replaced:
+            facts.replaced = f"life {self.members.superseded_by} of this member has begun elsewhere"
             _log.error("replaced: this agent stops", why=facts.replaced)
             self._front.stop()
-        doubting = [name for name, peer in self.members.peers.items() if peer.doubt]
+        doubting = [name for name, peer in self.members.peers.items() if peer.incomplete_reason]
         if bool(facts.doubt) + len(doubting) >= self.members.majority and "majority" not in self._noted:
             self._noted.add("majority")
             _log.error(
@@ -414,71 +420,88 @@
     # ---- the group ---------------------------------------------------------------------------------
 
     def _who(self) -> tuple[str, str]:
-        return self._name, self.members.token
+        return self._name, self.members.incarnation_token
 
-    def _beat(self, member: str) -> Beat | None:
+    def _beat(self, member: str) -> Heartbeat | None:
         peer = self.members.peers.get(member)
         if not self.members.incarnation or not self.facts.identity or peer is None:
             return None
-        kept, waiting = peer.kept, self.gates.waited_for()
-        return Beat(
+        kept, waiting = peer.recorded_incarnation, self.gates.waited_for()
+        return Heartbeat(
             self._name,
             self.members.incarnation,
-            self.journal.on_disk,
-            self.members.token,
+            self.journal.last_durable_batch,
+            self.members.incarnation_token,
             self._wall(),
             waiting[0].value if waiting else "",
             self.facts.doubt if self._doubt_on_disk else "",
-            (self._last.incarnation, self._last.batch, self._last.token),
-            (kept.incarnation, kept.batch, kept.token),
-            peer.health is Health.HERE,
-            peer.remark or peer.outdated,
-            gone_back=self._gone_back,
-            list=self._generation if self.facts.list_told else -1,
-            word=self.words.own,
-            kept_word=self.words.kept.get(member, NONE),
+            (self._last.number, self._last.durable_batch, self._last.token),
+            (kept.number, kept.durable_batch, kept.token),
+            peer.state is MemberState.ALIVE,
+            peer.latest_stale_reason or peer.stale_reason,
+            rolled_back_build=self._gone_back,
+            endpoint_list_generation=self._generation if self.facts.list_told else -1,
+            operator_hold=self.words.own,
+            recorded_operator_hold=self.words.kept.get(member, NONE),
         )
 
-    def _heard(self, beat: Beat) -> None:
+    def _heard(self, beat: Heartbeat) -> None:
         # Danger: held against a folder that has not been read yet, what others know of it looks like more.
-        if beat.name not in self.members.peers or not self.facts.read:
+        if beat.sender not in self.members.peers or not self.facts.read:
             return
-        peer = self.members.peers[beat.name]
-        ahead, health, beyond = beat.wall - self._wall(), peer.health, self.members.must_exceed
-        if abs(ahead) > CLOCK_APART and f"clock {beat.name}" not in self._noted:
-            self._noted.add(f"clock {beat.name}")
-            _log.warning("clocks differ", member=beat.name, ahead_s=round(ahead, 1))
-        life = Life(beat.incarnation, beat.batch, beat.token)
-        answer = self.members.heard(beat.name, life, Life(*beat.last), beat.stage, ahead, beat.doubt)
-        if peer.health is not health:
-            _log.info("member", member=beat.name, health=peer.health.value, life=beat.incarnation)
-        self.members.told_of_me(beat.name, Life(*beat.kept), beat.live, beat.outdated)
+        peer = self.members.peers[beat.sender]
+        ahead, health, beyond = beat.wall_time - self._wall(), peer.state, self.members.incarnation_floor
+        if abs(ahead) > CLOCK_APART and f"clock {beat.sender}" not in self._noted:
+            self._noted.add(f"clock {beat.sender}")
+            _log.warning("clocks differ", member=beat.sender, ahead_s=round(ahead, 1))
+        life = Incarnation(beat.incarnation, beat.durable_batch, beat.incarnation_token)
+        answer = self.members.receive_heartbeat(
+            beat.sender,
+            life,
+            Incarnation(*beat.startup_incarnation),
+            beat.readiness_stage,
+            ahead,
+            beat.incomplete_reason,
+        )
+        if peer.state is not health:
+            _log.info("member", member=beat.sender, health=peer.state.value, life=beat.incarnation)
+        self.members.receive_view_of_self(
+            beat.sender, Incarnation(*beat.recorded_incarnation), beat.recorded_is_alive, beat.stale_reason
+        )
         # Danger: a doubt goes to the disk before any life that others write down over what they knew.
         self._doubt()
-        if answer is Answer.NEW_LIFE and self.disk.opened:
-            remark = peer.remark
-            ticket = self._note(Seen(beat.name, life.incarnation, life.batch, life.token, remark))
-            self.disk.when(ticket, lambda good: self._wrote_down(beat.name, life, remark) if good else None)
-        elif answer is Answer.GOOD:
+        if answer is HeartbeatVerdict.NEW_INCARNATION and self.disk.is_open:
+            remark = peer.latest_stale_reason
+            ticket = self._note(Seen(beat.sender, life.number, life.durable_batch, life.token, remark))
+            self.disk.when_durable(
+                ticket, lambda good: self._wrote_down(beat.sender, life, remark) if good else None
+            )
+        elif answer is HeartbeatVerdict.ACCEPTED:
             # The batches of a life that is on disk go to the disk now and then.
-            self.members.wrote_down(beat.name, life)
+            self.members.mark_recorded(beat.sender, life)
             # It has that on disk itself by now, or others have made its record whole meanwhile.
-            if peer.outdated and (beat.doubt or beat.last[2] == beat.token):
-                peer.outdated = ""
-                self._note(Seen(beat.name, life.incarnation, life.batch, life.token))
+            if peer.stale_reason and (
+                beat.incomplete_reason or beat.startup_incarnation[2] == beat.incarnation_token
+            ):
+                peer.stale_reason = ""
+                self._note(Seen(beat.sender, life.number, life.durable_batch, life.token))
         self._heard_word(beat)
-        self._went_back(beat.gone_back)
-        if not self.facts.list_told and beat.list > self._generation and beat.name in self._lines:
-            self._generation = beat.list  # a member has had a newer one from discovery
-            self._lines[beat.name].want_list(self._list_of_others)
-        if self.members.must_exceed > beyond:
-            _log.warning("others knew later lives of this member", beyond=self.members.must_exceed)
+        self._went_back(beat.rolled_back_build)
+        if (
+            not self.facts.list_told
+            and beat.endpoint_list_generation > self._generation
+            and beat.sender in self._lines
+        ):
+            self._generation = beat.endpoint_list_generation  # a member has had a newer one from discovery
+            self._lines[beat.sender].request_endpoint_list(self._list_of_others)
+        if self.members.incarnation_floor > beyond:
+            _log.warning("others knew later lives of this member", beyond=self.members.incarnation_floor)
         self._touch()
 
-    def _heard_word(self, beat: Beat) -> None:
-        if not self.disk.opened:
+    def _heard_word(self, beat: Heartbeat) -> None:
+        if not self.disk.is_open:
             return
-        theirs, mine = self.words.heard(beat.name, beat.word, beat.kept_word)
+        theirs, mine = self.words.heard(beat.sender, beat.operator_hold, beat.recorded_operator_hold)
         if mine:
             self.facts.held = mine[1]
             self._note(Hold(mine[1], bool(mine[1]), mine[0]))
@@ -487,15 +510,17 @@
 
             def noted(good: bool) -> None:
                 if good:
-                    self.words.recall(beat.name, theirs)
+                    self.words.recall(beat.sender, theirs)
 
-            self.disk.when(self._note(Hold(theirs[1], bool(theirs[1]), theirs[0], beat.name)), noted)
+            self.disk.when_durable(
+                self._note(Hold(theirs[1], bool(theirs[1]), theirs[0], beat.sender)), noted
+            )
 
     def _went_back(self, build: int) -> None:
         """A build was sent back: written down, whoever told of it."""
         if build > self._gone_back:
             self._gone_back = build
-            if self.disk.opened and not self.journal.fault:
+            if self.disk.is_open and not self.journal.failure_reason:
                 self._note(GoneBack(build))
 
     def _list_of_others(self, listing: Any) -> None:
@@ -524,9 +549,9 @@
 
     def _doubt(self) -> None:
         """Write down that the record proves nothing, once it is known."""
-        if not self.members.outdated or self.facts.doubt or not self.disk.opened:
+        if not self.members.stale_reason or self.facts.doubt or not self.disk.is_open:
             return
-        self._in_doubt(self.members.outdated)
+        self._in_doubt(self.members.stale_reason)
         _log.error("the folder is lost, swapped or old: it proves nothing", why=self.facts.doubt)
         self._note_doubt()
 
@@ -558,9 +583,11 @@
         self._doubt_over()
 
     def _doubt_over(self) -> int:
-        self.members.outdated = ""
+        self.members.stale_reason = ""
         self._in_doubt("")
-        self._last = Life(self.members.incarnation, self.journal.on_disk, self.members.token)
+        self._last = Incarnation(
+            self.members.incarnation, self.journal.last_durable_batch, self.members.incarnation_token
+        )
         self._noted.discard("majority")
         self._touch()
         if self.repairing:
@@ -569,7 +596,7 @@
 
     def _rotten(self, why: str) -> None:
         self._in_doubt(self.facts.doubt or why)
-        if self.disk.opened:
+        if self.disk.is_open:
             self._note_doubt()
         self._touch()
 
@@ -579,50 +606,57 @@
 
         self._doubt_on_disk = False
         ticket = self._note(Doubt(self.facts.doubt, self._mute))
-        self.disk.when(ticket, noted)
+        self.disk.when_durable(ticket, noted)
         return ticket
 
-    def _wrote_down(self, name: str, life: Life, outdated: str) -> None:
-        self.members.wrote_down(name, life, outdated)
+    def _wrote_down(self, name: str, life: Incarnation, outdated: str) -> None:
+        self.members.mark_recorded(name, life, outdated)
         if line := self._lines.get(name):
-            line.poke()
+            line.send_heartbeat_now()
         self._touch()
 
-    def _answer(self, message: Message) -> Reply:
+    def _answer(self, message: MemberMessage) -> Response:
         match message:
-            case Beat():
+            case Heartbeat():
                 self._heard(message)
-                return self._beat(message.name)
-            case Ask(number, names, sender, token):
+                return self._beat(message.sender)
+            case StatusQuery(number, names, sender, token):
                 known = self._knows(sender, token)
-                return Tell(
-                    number, [self._asked(name, known) for name in names], self.members.token, self._lives()
+                return StatusReply(
+                    number,
+                    [self._asked(name, known) for name in names],
+                    self.members.incarnation_token,
+                    self._lives(),
                 )
-            case Copy() if self.copies and self.disk.opened and self.facts.read:
+            case ReplicateRequest() if self.copies and self.disk.is_open and self.facts.read:
                 return self.copies.keep(message)
-            case Read(sender=sender, token=token) if self.copies and self.disk.opened and self.facts.read:
+            case FencedRead(sender=sender, incarnation_token=token) if (
+                self.copies and self.disk.is_open and self.facts.read
+            ):
                 return self.copies.told(
                     message, lambda: self._whole_for(message.owner, sender, token), self._lives()
                 )
-            case Compare() if self.repairing and self.disk.opened and self.facts.read:
+            case DigestRequest() if self.repairing and self.disk.is_open and self.facts.read:
                 return self.repairing.told(message)
-            case Agree() if self.agreement and not self.facts.doubt:
+            case ConsensusMessage() if self.agreement and not self.facts.doubt:
                 self.agreement.take(message)
-            case Order(number, "put", who, key, value) if self.agreement:
+            case OperatorCommand(number, "put", who, key, value) if self.agreement:
                 return self._put(number, who, key, value)
-            case Want(number):
-                return Have(number, msgspec.to_builtins(self._whole()) if self.facts.list_told else None)
-            case Order(number, what, who):
+            case EndpointListRequest(number):
+                return EndpointListReply(
+                    number, msgspec.to_builtins(self._whole()) if self.facts.list_told else None
+                )
+            case OperatorCommand(number, what, who):
                 return self._order(number, what, who)
         return None
 
     def _knows(self, sender: str, token: str) -> bool:
         """Whether a member's present life is on disk here, and nobody's folder is in question."""
         peer = self.members.peers.get(sender)
-        return peer is not None and peer.kept.token == token and self.members.clear
+        return peer is not None and peer.recorded_incarnation.token == token and self.members.no_stale_peers
 
     def _lives(self) -> dict[str, str]:
-        return {name: each.kept.token for name, each in self.members.peers.items()}
+        return {name: each.recorded_incarnation.token for name, each in self.members.peers.items()}
 
     def _asked(self, name: str, known: bool) -> tuple[str, bytes | None]:
         if not self.facts.read or not self.facts.identity:
@@ -642,11 +676,11 @@
             _log.error("the record proves nothing any more", why=self.facts.doubt)
             self._touch()
 
-    async def _order(self, number: int, what: str, who: str) -> Message:
+    async def _order(self, number: int, what: str, who: str) -> MemberMessage:
         """An operator's word: it is answered once it is on disk, and so outlives a power loss."""
         ticket = 0
         lacking = self.facts.doubt or self._mute or (self.repairing and self.repairing.repair.lost)
-        if what == "accept" and lacking and self.disk.opened:
+        if what == "accept" and lacking and self.disk.is_open:
             _log.warning("operators accept the loss", who=who, doubt=self.facts.doubt)
             self._mute = False
             ticket = self._doubt_over()
@@ -655,22 +689,24 @@
             ticket = self._note(Hold(who, what == "hold", serial))
             _log.warning("votes", order=what, who=who)
         self._touch()
-        kept = not ticket or (self.disk.opened and await self.disk.durable(ticket))
+        kept = not ticket or (self.disk.is_open and await self.disk.wait_durable(ticket))
         if what in ("hold", "lift") and self.copies:
             for line in self._lines.values():
-                line.poke()
+                line.send_heartbeat_now()
             with anyio.move_on_after(WORD_WAIT):
                 while not self.words.counts:
                     await anyio.sleep(self.rules.turns.every / 4)
-        return Report(number, {**self.status(), "kept": kept, "copied": self.words.counts or not self.copies})
+        return OperatorReport(
+            number, {**self.status(), "kept": kept, "copied": self.words.counts or not self.copies}
+        )
 
-    async def _put(self, number: int, who: str, key: str, value: str) -> Message:
+    async def _put(self, number: int, who: str, key: str, value: str) -> MemberMessage:
         """Set a key of the register, from the version that it has here."""
         assert self.agreement
         _log.warning("register", key=key, value=value, who=who)
         version = self.agreement.register.get(key).version
         good = await self.agreement.put(key, value, version, self._clock())
-        return Report(number, {**self.status(), "put": good})
+        return OperatorReport(number, {**self.status(), "put": good})
 
     def status(self) -> dict[str, Any]:
         """What operators see."""
@@ -679,7 +715,7 @@
             "name": self._name,
             "life": self.members.incarnation,
             "record": journal.condition.value,
-            "why": self.facts.unusable or journal.fault,
+            "why": self.facts.unusable or journal.failure_reason,
             "doubt": self.facts.doubt,
             "waits_for": waiting[0].value if waiting else "",
             "because": waiting[1] if waiting else "",
@@ -689,23 +725,23 @@
             },
             "members": {
                 name: [
-                    peer.health.value,
-                    peer.life.incarnation,
-                    peer.stage,
-                    peer.doubt,
-                    round(peer.clock_ahead, 3),
+                    peer.state.value,
+                    peer.incarnation.number,
+                    peer.readiness_stage,
+                    peer.incomplete_reason,
+                    round(peer.clock_offset, 3),
                 ]
                 for name, peer in self.members.peers.items()
             },
-            "bytes": journal.bytes,
-            "segments": journal.segments,
+            "bytes": journal.total_bytes,
+            "segments": journal.segment_count,
             "operations": len(journal.index),
             "copies": len(self.holding.open),
             "holders": list(self.copies.ensemble) if self.copies else [],
             "open": len(self.ledger.live),
             "lost": len(self.ledger.lost),
             "held": self.facts.held,
-            "commits": self.disk.commits,
+            "commits": self.disk.commit_count,
             "mute": self._mute,
             "few_copies": self.copies is not None and self.copies.few,
             "to_compare": self.repairing.repair.waiting if self.repairing else 0,
@@ -743,13 +779,27 @@
     def _note_batches(self) -> None:
         """Write down how far the others' records have come, so that an older copy of one is noticed."""
         for name, peer in self.members.peers.items():
-            if (peer.kept.batch, peer.kept.token) != self._noted_batches.get(name) and peer.kept.incarnation:
-                self._noted_batches[name] = peer.kept.batch, peer.kept.token
-                self._note(Seen(name, peer.kept.incarnation, peer.kept.batch, peer.kept.token, peer.outdated))
+            if (
+                peer.recorded_incarnation.durable_batch,
+                peer.recorded_incarnation.token,
+            ) != self._noted_batches.get(name) and peer.recorded_incarnation.number:
+                self._noted_batches[name] = (
+                    peer.recorded_incarnation.durable_batch,
+                    peer.recorded_incarnation.token,
+                )
+                self._note(
+                    Seen(
+                        name,
+                        peer.recorded_incarnation.number,
+                        peer.recorded_incarnation.durable_batch,
+                        peer.recorded_incarnation.token,
+                        peer.stale_reason,
+                    )
+                )
 
     def _note_list(self) -> None:
         """Write the list down, if it has changed: once a turn at most."""
-        if self._list_dirty and not self.journal.fault:
+        if self._list_dirty and not self.journal.failure_reason:
             self._list_dirty = False
             self._list = KnownList(self._wall(), msgspec.to_builtins(self._whole()))
             self._note(self._list)
@@ -772,4 +822,4 @@
 
     def close(self) -> None:
         """Let the folder go."""
-        self.disk.folder.close()
+        self.disk.directory.close()
--- a/frostfall/net/repair.py
+++ b/frostfall/net/repair.py
@@ -12,16 +12,23 @@
 from frostfall.copies.catalogue import EMPTY, MARKS, Catalogue, Comparison, Mark, Question, answer
 from frostfall.copies.holding import Holding, parts_of_copy
 from frostfall.copies.repair import LATEST, Pair, Repair
-from frostfall.membership.members import Health, Members
-from frostfall.net.disk import Disk
-from frostfall.net.group import Line
-from frostfall.protocol.group import ENTRIES, ITEMS, SUMS, Compare, Compared, Message
+from frostfall.membership.member_list import MemberList, MemberState
+from frostfall.net.log_writer import LogWriter
+from frostfall.net.member_transport import MemberConnection
+from frostfall.protocol.member_messages import (
+    DIGEST_ENTRIES,
+    DIGEST_ITEMS,
+    DIGEST_SUMS,
+    DigestReply,
+    DigestRequest,
+    MemberMessage,
+)
 from frostfall.recovery.facts import Keeps
 from frostfall.recovery.ledger import Ledger, aged_in, answer_in, name_in, payload
-from frostfall.storage import frames
-from frostfall.storage.frames import End, Record, State
-from frostfall.storage.index import parts_of, place_of
-from frostfall.storage.journal import key_of
+from frostfall.storage import segment_codec
+from frostfall.storage.record_index import pack_location, unpack_location
+from frostfall.storage.segment_codec import Record, RecordState, SegmentEnd
+from frostfall.storage.write_ahead_log import operation_key
 
 TOGETHER = 256  # operations in one answer, which has so many bytes at most, but for the last one's
 TOGETHER_BYTES = 256 * 1024
@@ -46,11 +53,11 @@
     def __init__(
         self,
         repair: Repair,
-        disk: Disk,
+        disk: LogWriter,
         ledger: Ledger,
         holding: Holding,
-        members: Members,
-        lines: dict[str, Line],
+        members: MemberList,
+        lines: dict[str, MemberConnection],
         steady: Callable[[], float],
         sure: Callable[[str, str, str], bool],
         restored: Callable[[], None],
@@ -83,45 +90,51 @@
         What was on disk when this began is in it, also where it was written anew meanwhile.
         """
         found: dict[tuple[str, bool], dict[int, int]] = defaultdict(dict)
-        journal, number = self._disk.journal, 0
+        journal, number = self._disk.wal, 0
         async with self._reading:
-            while later := [each for each in journal.numbers if each > number]:
+            while later := [each for each in journal.segment_numbers if each > number]:
                 number = later[0]
                 await self._survey_one(number, found)
-        return {key: await self._disk.blocking(Catalogue, places) for key, places in found.items()}
+        return {key: await self._disk.run_blocking(Catalogue, places) for key, places in found.items()}
 
     async def _survey_one(self, number: int, found: dict[tuple[str, bool], dict[int, int]]) -> None:
-        journal, keep = self._disk.journal, self._disk.journal.rules.keep
-        size, last, batch = journal.size_of(number), number == journal.numbers[-1], journal.on_disk
+        journal, keep = self._disk.wal, self._disk.wal.options.keep
+        size, last, batch = (
+            journal.segment_size(number),
+            number == journal.segment_numbers[-1],
+            journal.last_durable_batch,
+        )
         try:
-            raw = await self._disk.part(number, 0, size)
+            raw = await self._disk.read_range(number, 0, size)
         except OSError as error:
-            if journal.size_of(number):
+            if journal.segment_size(number):
                 self._spoilt(number, 0, str(error))
             return  # it has left meanwhile
-        seen, segment = 0, frames.Segment()
-        for state, key, _, offset, data in frames.walk(raw, last, segment):
+        seen, segment = 0, segment_codec.SegmentScan()
+        for state, key, _, offset, data in segment_codec.iter_records(raw, last, segment):
             if (seen := seen + 1) % SLICE == 0:
                 await anyio.sleep(REST)
-            if state == State.FACT or not journal.holds(key, place := place_of(number, offset, State(state))):
+            if state == RecordState.METADATA or not journal.is_current(
+                key, place := pack_location(number, offset, RecordState(state))
+            ):
                 continue
             text = bytes(data)
             owner, name = parts_of_copy(name_in(text))
-            ended = State(state) not in (State.OPEN, State.LOST)
+            ended = RecordState(state) not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
             if ended and self._age(number, text) >= keep:
                 continue  # it is about to leave here, and must not live for ever by going round
-            found[owner or self._disk.journal.owner, state == State.FENCED][key_of(name)] = place
+            found[owner or self._disk.wal.owner, state == RecordState.FENCED][operation_key(name)] = place
         # Danger: a tail that seems torn was whole once where the batches that are on disk do not all stand.
-        bad = segment.end is End.DAMAGED or (last and segment.batch < batch)
-        if bad and journal.size_of(number):
-            self._spoilt(number, segment.good, segment.why)
+        bad = segment.end is SegmentEnd.CORRUPTED or (last and segment.last_batch < batch)
+        if bad and journal.segment_size(number):
+            self._spoilt(number, segment.valid_bytes, segment.reason)
 
     def _age(self, segment: int, data: bytes) -> float:
         """Seconds of running that a record there is old at most, also where it was brought."""
-        return self._disk.journal.age(segment, self._disk.elapsed) + aged_in(data)
+        return self._disk.wal.max_record_age(segment, self._disk.elapsed_seconds) + aged_in(data)
 
     def _spoilt(self, number: int, offset: int, why: str) -> None:
-        lost = self._disk.journal.spoilt(number, offset)
+        lost = self._disk.wal.discard_unreadable(number, offset)
         if number not in self._rot:
             self._rot.add(number)
             _log.error("the disk has changed what was written", segment=number, why=why, operations=lost)
@@ -129,47 +142,47 @@
 
     async def _leave_rot(self) -> None:
         """Write what counts in segments up to a rotten one anew, and let them leave."""
-        journal, until = self._disk.journal, max(self._rot)
+        journal, until = self._disk.wal, max(self._rot)
         _log.info("segments are written anew", up_to=until)
         ticket = 0
         for _, place in list(journal.index.items()):
-            segment, offset, state = parts_of(place)
-            if segment > until or state in (State.OPEN, State.LOST):
+            segment, offset, state = unpack_location(place)
+            if segment > until or state in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN):
                 continue  # every new segment begins with these
-            record = self._disk.record(segment, offset)
-            if record and journal.holds(record[1], place):
+            record = self._disk.read_record(segment, offset)
+            if record and journal.is_current(record[1], place):
                 text = record[2]
                 again = payload(name_in(text), answer_in(text), max(int(self._age(segment, text)), 1))
                 ticket = journal.append(Record(state, record[1], again, place))
-                self._disk.poke()
-                if ticket % SLICE == 0 and not await self._disk.durable(ticket):
+                self._disk.wake()
+                if ticket % SLICE == 0 and not await self._disk.wait_durable(ticket):
                     return
-        if await self._disk.durable(ticket):
-            journal.retire(until)
-            while min(journal.numbers) <= until and not journal.fault:
-                self._disk.poke()
+        if await self._disk.wait_durable(ticket):
+            journal.retire_through(until)
+            while min(journal.segment_numbers) <= until and not journal.failure_reason:
+                self._disk.wake()
                 await anyio.sleep(LOOK)
             self._rot.clear()
             _log.info("rotten segments have left", up_to=until)
 
     # ---- answers ---------------------------------------------------------------------------------------
 
-    async def told(self, message: Compare) -> Message:
+    async def told(self, message: DigestRequest) -> MemberMessage:
         """Answer a party's question."""
         # Danger: asked only once its life is on disk here, all that this member does from now on counts no
         # acknowledgement of an earlier one; so what is read below is all that can rest on such.
-        sure, now = self._sure(message.owner, message.sender, message.token), self._steady()
+        sure, now = self._sure(message.owner, message.sender, message.incarnation_token), self._steady()
         known = self._sessions.get(message.sender)
         self._sessions = {name: each for name, each in self._sessions.items() if now - each[1] < IDLE}
         # Danger: sessions are counted anew in each life, and what was read for an earlier one is too old.
-        if known is None or known[0] != (message.token, message.session):
-            known = (message.token, message.session), now, await self._survey()
+        if known is None or known[0] != (message.incarnation_token, message.session):
+            known = (message.incarnation_token, message.session), now, await self._survey()
         self._sessions[message.sender] = known[0], self._steady(), known[2]
-        catalogue = known[2].get((message.owner, message.fences), EMPTY)
+        catalogue = known[2].get((message.owner, message.compare_fences), EMPTY)
         data, items = b"", list[tuple[int, str, bytes | None, int]]()
-        if message.what == ITEMS:
+        if message.level == DIGEST_ITEMS:
             seen = size = 0
-            for key in message.asked[:TOGETHER]:
+            for key in message.selectors[:TOGETHER]:
                 found = self._item(catalogue.place(key))
                 items += found
                 seen, size = seen + 1, size + sum(len(given or b"") for _, _, given, _ in found)
@@ -179,18 +192,20 @@
                     await anyio.sleep(0)
             data = seen.to_bytes(4, "little")
         else:
-            data = answer(catalogue, Question(message.what == ENTRIES, message.depth, message.asked))
-        sure = sure and self._sure(message.owner, message.sender, message.token)
-        return Compared(message.number, sure, self._members.token, data, items)
+            data = answer(
+                catalogue, Question(message.level == DIGEST_ENTRIES, message.depth, message.selectors)
+            )
+        sure = sure and self._sure(message.owner, message.sender, message.incarnation_token)
+        return DigestReply(message.request_id, sure, self._members.incarnation_token, data, items)
 
     def _item(self, place: int) -> list[tuple[int, str, bytes | None, int]]:
         if not place:
             return []
-        journal, (segment, offset, state) = self._disk.journal, parts_of(place)
-        record = self._disk.record(segment, offset)
-        if record is None or not journal.holds(record[1], place):
+        journal, (segment, offset, state) = self._disk.wal, unpack_location(place)
+        record = self._disk.read_record(segment, offset)
+        if record is None or not journal.is_current(record[1], place):
             return []  # it has moved since: the next round has it
-        ended = state not in (State.OPEN, State.LOST)
+        ended = state not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
         aged = int(self._age(segment, record[2])) if ended else 0
         return [(state, parts_of_copy(name_in(record[2]))[1], answer_in(record[2]), aged)]
 
@@ -214,10 +229,10 @@
             repair.compare(now)
             if not repair.parties(repair.own):
                 await self._survey()  # nobody to compare with: the checksums are looked at all the same
-        here = {name for name in self._lines if peers[name].health is Health.HERE}
+        here = {name for name in self._lines if peers[name].state is MemberState.ALIVE}
         repair.health(now, set(peers) - here)
         for name in here:
-            if self._lives.get(name) != (token := peers[name].kept.token):
+            if self._lives.get(name) != (token := peers[name].recorded_incarnation.token):
                 self._lives[name] = token
                 repair.compare(now, name)
         if pairs := repair.next(now, here):
@@ -252,82 +267,82 @@
         for fences in (False, True):
             if fences and pair.owner in (pair.party, self.repair.own):
                 continue  # an owner has none
-            mine, had = own.get((pair.owner, fences), EMPTY), dict[int, State]()
+            mine, had = own.get((pair.owner, fences), EMPTY), dict[int, RecordState]()
             comparison = Comparison(mine)
             while question := comparison.question():
-                what = ENTRIES if question.entries else SUMS
+                what = DIGEST_ENTRIES if question.entries else DIGEST_SUMS
                 told = await self._ask(pair, fences, what, question.depth, question.prefixes, session)
-                sure = sure and told.sure
+                sure = sure and told.authoritative
                 try:
                     comparison.answered(question, told.data)
                 except ValueError as error:
                     raise Failed(str(error)) from None
             keys = comparison.lacking
             while keys:
-                told = await self._ask(pair, fences, ITEMS, 0, keys[:TOGETHER], session)
-                sure, seen = sure and told.sure, int.from_bytes(told.data, "little")
+                told = await self._ask(pair, fences, DIGEST_ITEMS, 0, keys[:TOGETHER], session)
+                sure, seen = sure and told.authoritative, int.from_bytes(told.data, "little")
                 if not 0 < seen <= TOGETHER:
                     raise Failed("no items")
                 keys = keys[seen:]
                 await self._restore(pair.owner, told, had)
             if had:  # so that the next party's sums are not asked for all over again
-                own[pair.owner, fences] = await self._disk.blocking(mine.with_more, had)
+                own[pair.owner, fences] = await self._disk.run_blocking(mine.with_more, had)
         return sure
 
     async def _ask(
         self, pair: Pair, fences: bool, what: int, depth: int, asked: list[int], session: int
-    ) -> Compared:
-        told: list[Message | None] = []
+    ) -> DigestReply:
+        told: list[MemberMessage | None] = []
         came = anyio.Event()
 
-        def take(message: Message | None) -> None:
+        def take(message: MemberMessage | None) -> None:
             told.append(message)
             came.set()
 
-        self._lines[pair.party].call(
-            lambda number: Compare(
+        self._lines[pair.party].request(
+            lambda number: DigestRequest(
                 number,
                 pair.owner,
                 fences,
                 what,
                 depth,
                 asked,
-                self._members.own,
-                self._members.token,
+                self._members.own_name,
+                self._members.incarnation_token,
                 session,
             ),
             take,
         )
         with anyio.move_on_after(ANSWER):
             await came.wait()
-        if not told or not isinstance(told[0], Compared):
+        if not told or not isinstance(told[0], DigestReply):
             raise Failed("no answer")
-        if told[0].token != self._members.peers[pair.party].kept.token:
+        if told[0].incarnation_token != self._members.peers[pair.party].recorded_incarnation.token:
             raise Failed("another life of it answered")
         told_bytes = sum(len(name) + len(given or b"") + 16 for _, name, given, _ in told[0].items)
         self.bytes += len(told[0].data) + told_bytes + 8 * len(asked)
         return told[0]
 
-    async def _restore(self, owner: str, told: Compared, had: dict[int, State]) -> None:
+    async def _restore(self, owner: str, told: DigestReply, had: dict[int, RecordState]) -> None:
         ticket, size, maybe = 0, 0, list[str]()
         for place, (state, name, given, aged) in enumerate(told.items, 1):
             if place % BLOCK == 0:
-                self._disk.poke()
+                self._disk.wake()
                 await anyio.sleep(0)
-            mark = MARKS[State(state)]
-            if owner == self._disk.journal.owner:
-                new = self._ledger.restore(State(state), name, given, aged)
+            mark = MARKS[RecordState(state)]
+            if owner == self._disk.wal.owner:
+                new = self._ledger.restore(RecordState(state), name, given, aged)
                 if new and mark is Mark.MAY_HAVE_RUN:
                     maybe.append(name)
             else:
-                new = self._holding.restore(owner, State(state), name, given, aged)
+                new = self._holding.restore(owner, RecordState(state), name, given, aged)
             if new is None:
                 raise Failed(f"{name} is under way here")
-            had[key_of(name)] = State(state)
+            had[operation_key(name)] = RecordState(state)
             ticket, self.taken = max(ticket, new), self.taken + (new > 0)
             size += len(name) + len(given or b"") + 32
-        self._disk.poke()
-        if not await self._disk.durable(ticket):
+        self._disk.wake()
+        if not await self._disk.wait_durable(ticket):
             raise Failed("the disk has failed here")
         for name in maybe:
             self._ledger.restored(name)
--- a/frostfall/recovery/ledger.py
+++ b/frostfall/recovery/ledger.py
@@ -14,16 +14,16 @@
 from enum import Enum
 from typing import Any
 
-from frostfall.storage.frames import Record, State
-from frostfall.storage.index import parts_of, place_of
-from frostfall.storage.journal import Journal, key_of
+from frostfall.storage.record_index import pack_location, unpack_location
+from frostfall.storage.segment_codec import Record, RecordState
+from frostfall.storage.write_ahead_log import WriteAheadLog, operation_key
 
 NAME_MOST = 180  # bytes of an operation's name; a copy's has its owner's, of 64 at most, before it
 CEDED_MOST = 100_000  # names told to be unknown here; past that, others are asked about every operation
 KEPT, CUT = 0, 1  # whether an answer is kept whole
 AGED = 2  # a flag: brought by repair, and the last four bytes say how many seconds old it was by then
 
-Look = Callable[[int, Callable[[bytes], bool]], tuple[State, bytes, int] | None]
+Look = Callable[[int, Callable[[bytes], bool]], tuple[RecordState, bytes, int] | None]
 
 
 def payload(name: str, answer: bytes | None = b"", aged: int = 0) -> bytes:
@@ -90,7 +90,7 @@
     vouched: bool = False  # where the own record proves nothing, its copies have been asked instead
     ticket: int = 0  # of the intent; 0 before there is one
     waiting_for: set[str] = field(default_factory=set)  # members that have not answered yet
-    ended: State | None = None
+    ended: RecordState | None = None
     answer: bytes | None = None
     end_ticket: int = 0  # of the end's record; 0 while there is none
     until: int = 0  # microseconds of the owner's clock: when its client stops waiting
@@ -108,7 +108,7 @@
     """What one agent knows of operations."""
 
     def __init__(
-        self, journal: Journal, look: Look, marked: bool, answer_most: int = 4096, copied: bool = False
+        self, journal: WriteAheadLog, look: Look, marked: bool, answer_most: int = 4096, copied: bool = False
     ) -> None:
         """`look` finds in the log; `marked`: clients mark all tries but an operation's first.
 
@@ -132,33 +132,33 @@
         """
         count = 0
         for _, place in list(self.journal.index.items()):
-            segment, offset, state = parts_of(place)
-            if state not in (State.OPEN, State.LOST):
+            segment, offset, state = unpack_location(place)
+            if state not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN):
                 continue
             data = read(segment, offset)
-            if state is State.OPEN and copies(name_in(data)):
+            if state is RecordState.OPEN and copies(name_in(data)):
                 continue
             self.lost[name_in(data)] = place
-            count += state is State.OPEN
+            count += state is RecordState.OPEN
         return count
 
     def carried(self) -> Iterable[Record]:
         """Records that a new segment begins with: what is open, and what is lost for ever."""
         for name, operation in self.live.items():
             # Danger: an intent that still waits to be written would stand twice, its end replace one only.
-            if 0 < operation.ticket <= self.journal.durable and operation.ended is None:
-                yield Record(State.OPEN, operation.key, payload(name), self._place(name, operation.key))
+            if 0 < operation.ticket <= self.journal.durable_ticket and operation.ended is None:
+                yield Record(RecordState.OPEN, operation.key, payload(name), self._place(name, operation.key))
         for name in self.lost:
-            key = key_of(name)
-            yield Record(State.LOST, key, payload(name), self._place(name, key))
+            key = operation_key(name)
+            yield Record(RecordState.OUTCOME_UNKNOWN, key, payload(name), self._place(name, key))
 
     def _place(self, name: str, key: int) -> int:
         """The place of a name on disk, 0 where it has none."""
-        places = self.journal.find(key)
+        places = self.journal.find_locations(key)
         if not places:
             return 0
         if len(places) == 1:
-            return place_of(*places[0])
+            return pack_location(*places[0])
         found = self._look(key, lambda data: name_in(data) == name)
         return found[2] if found else 0
 
@@ -167,45 +167,49 @@
     def known(self, name: str) -> Told | None:
         """What is known of an operation here, if anything; OSError or ValueError where the log fails."""
         if operation := self.live.get(name):
-            if operation.ended is State.SERVED:
+            if operation.ended is RecordState.SERVED:
                 return Told(Word.SERVED, operation.answer)
-            return Told(Word.FAILED if operation.ended is State.FAILED else Word.OPEN)
+            return Told(Word.FAILED if operation.ended is RecordState.FAILED else Word.OPEN)
         if name in self.lost:
             return Told(Word.FAILED)
-        found = self._look(key_of(name), lambda data: name_in(data) == name)
+        found = self._look(operation_key(name), lambda data: name_in(data) == name)
         if found is None:
             return None
-        if found[0] is State.SERVED:
+        if found[0] is RecordState.SERVED:
             return Told(Word.SERVED, answer_in(found[1]))
         return Told(Word.FAILED)
 
     def admit(self, name: str, again: bool) -> tuple[Way, Told | None]:
         """A client's try at an operation: what to do with it, and what is known where it has ended."""
-        if (operation := self.live.get(name)) and operation.ended is State.NEVER:
+        if (operation := self.live.get(name)) and operation.ended is RecordState.NOT_EXECUTED:
             return Way.AGAIN, None
         told = self.known(name)
         if told is None:
             ask = again or not self.marked or name in self.ceded
-            self.live[name] = Operation(name, key_of(name), ask, copied=not self._copied)
+            self.live[name] = Operation(name, operation_key(name), ask, copied=not self._copied)
             return (Way.ASK if ask else Way.NEW), None
         return (Way.JOIN if told.word is Word.OPEN else Way.TOLD), told
 
     def intend(self, operation: Operation) -> int:
         """Write the intent down; the ticket to wait for before anything is sent."""
         if not operation.ticket:
-            record = Record(State.OPEN, operation.key, payload(operation.name))
+            record = Record(RecordState.OPEN, operation.key, payload(operation.name))
             operation.ticket = self.journal.append(record)
         return operation.ticket
 
     def may_write(self, operation: Operation) -> bool:
         """Whether a server may be sent this now: its intent is on disk, and nobody else can have run it."""
-        return operation.may_write and 0 < operation.ticket <= self.journal.durable and not self.journal.fault
+        return (
+            operation.may_write
+            and 0 < operation.ticket <= self.journal.durable_ticket
+            and not self.journal.failure_reason
+        )
 
     def under_way(self, operation: Operation) -> bool:
         """Whether this is the one of its name, and has not ended."""
         return operation.ended is None and self.live.get(operation.name) is operation
 
-    def end(self, operation: Operation, state: State, answer: bytes | None = None) -> int:
+    def end(self, operation: Operation, state: RecordState, answer: bytes | None = None) -> int:
         """An operation under way has ended: the ticket to wait for before `done`, 0 where none is kept.
 
         `state` is SERVED with its answer, FAILED where it may have run, NEVER where it provably never did.
@@ -214,7 +218,7 @@
         if not operation.ticket:
             del self.live[operation.name]
             return 0
-        if operation.ticket <= self.journal.durable:
+        if operation.ticket <= self.journal.durable_ticket:
             self._write_end(operation)
         return operation.end_ticket or operation.ticket
 
@@ -231,36 +235,40 @@
         name, state, answer = operation.name, operation.ended, operation.answer
         assert state is not None
         kept = answer if answer is not None and len(answer) <= self._answer_most else None
-        data = payload(name, kept if state is State.SERVED else b"")
+        data = payload(name, kept if state is RecordState.SERVED else b"")
         place = self._place(name, operation.key)
         operation.end_ticket = self.journal.append(Record(state, operation.key, data, place))
 
-    def restore(self, state: State, name: str, answer: bytes | None, aged: int) -> int | None:
+    def restore(self, state: RecordState, name: str, answer: bytes | None, aged: int) -> int | None:
         """Take back one's own operation from a copy; the ticket to wait for, 0 where nothing was lacking.
 
         One that may have run is to be handed to `restored` once that is on disk. None: not just now.
         """
         if name in self.live:
             return None  # Danger: a try that has no intent yet leaves nothing behind when it ends
-        key, found = key_of(name), self._look(key_of(name), lambda data: name_in(data) == name)
+        key, found = operation_key(name), self._look(operation_key(name), lambda data: name_in(data) == name)
         place = found[2] if found else 0
-        if state is State.SERVED:
-            if found and found[0] is State.SERVED:
+        if state is RecordState.SERVED:
+            if found and found[0] is RecordState.SERVED:
                 return 0
             self.lost.pop(name, None)
-            return self.journal.append(Record(State.SERVED, key, payload(name, answer, aged), place))
-        if found or state is State.FENCED or name in self.lost:
+            return self.journal.append(Record(RecordState.SERVED, key, payload(name, answer, aged), place))
+        if found or state is RecordState.FENCED or name in self.lost:
             return 0
         # An open copy is of an earlier life, as what is under way now was passed by above.
         return self.journal.append(
-            Record(State.LOST if state is State.OPEN else State.FAILED, key, payload(name, b"", aged))
+            Record(
+                RecordState.OUTCOME_UNKNOWN if state is RecordState.OPEN else RecordState.FAILED,
+                key,
+                payload(name, b"", aged),
+            )
         )
 
     def restored(self, name: str) -> None:
         """An operation that may have run has been taken back: it is lost for ever, as after a power loss."""
-        key = key_of(name)
+        key = operation_key(name)
         found = self._look(key, lambda data: name_in(data) == name)
-        if found and found[0] is State.LOST:
+        if found and found[0] is RecordState.OUTCOME_UNKNOWN:
             self.lost[name] = found[2]
 
     # ---- between members ---------------------------------------------------------------------------
@@ -271,7 +279,7 @@
         if operation and operation.ended is None and not operation.ticket:
             # Begun here, and nothing is down yet: it is given away, and has to ask before it goes on.
             operation.ask, operation.cleared = True, False
-        elif not (operation and operation.ended is State.NEVER):
+        elif not (operation and operation.ended is RecordState.NOT_EXECUTED):
             told = self.known(name)
             if told is not None:
                 return told
--- a/frostfall/recovery/rules.py
+++ b/frostfall/recovery/rules.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from frostfall.copies.rules import Copies
-from frostfall.storage.rules import Store
+from frostfall.storage.options import StorageOptions
 
 _NAME = re.compile(r"[0-9A-Za-z_.:-]{1,64}\Z")
 _FIELD = re.compile(r"[A-Za-z_][\w.-]{0,31}\Z", re.ASCII)
@@ -83,7 +83,7 @@
     operation: str = ""  # the comment's field that names an operation; "": the statement's id
     new: bool = False  # the group is being set up: an empty folder is a first start, and no lost one
     retries_marked: bool = False  # operators' word that clients mark every try after an operation's first
-    store: Store = Store()
+    store: StorageOptions = StorageOptions()
     copies: Copies | None = None  # without it, an agent's record is on its own disk alone
     agreement: bool = False  # whether members keep a register in common
     turns: Turns = Turns()
--- a/frostfall/storage/rules.py
+++ b/frostfall/storage/options.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Store(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StorageOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Bounds of the folder; every figure has a default."""
 
     segment_bytes: int = 4 * 1024 * 1024  # a segment that has so many is closed
--- a/frostfall/storage/index.py
+++ b/frostfall/storage/record_index.py
@@ -11,29 +11,29 @@
 from array import array
 from collections.abc import Iterator
 
-from frostfall.storage.frames import State
+from frostfall.storage.segment_codec import RecordState
 
-SMALLEST = 1 << 10  # slots
-FULL = 0.7  # of the slots, graves included, from which the table grows or is laid anew
+MIN_SLOTS = 1 << 10  # slots
+MAX_LOAD_FACTOR = 0.7  # of the slots, graves included, from which the table grows or is laid anew
 _STATE, _OFFSET = 3, 32  # bits
 _EMPTY, _GRAVE = 0, 1  # of a place; every place in use has a segment from 1 on
 
 
-def place_of(segment: int, offset: int, state: State) -> int:
+def pack_location(segment: int, offset: int, state: RecordState) -> int:
     """A place in the log and a state as one number."""
     return segment << (_OFFSET + _STATE) | offset << _STATE | state
 
 
-def parts_of(place: int) -> tuple[int, int, State]:
+def unpack_location(location: int) -> tuple[int, int, RecordState]:
     """Segment, offset and state of a place."""
     return (
-        place >> (_OFFSET + _STATE),
-        (place >> _STATE) & ((1 << _OFFSET) - 1),
-        State(place & ((1 << _STATE) - 1)),
+        location >> (_OFFSET + _STATE),
+        (location >> _STATE) & ((1 << _OFFSET) - 1),
+        RecordState(location & ((1 << _STATE) - 1)),
     )
 
 
-class Index:
+class RecordIndex:
     """Keys of 64 bits, each with one or more places."""
 
     __slots__ = ("_keys", "_mask", "_places", "_used", "count")
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         """Without a key."""
         self.count = 0
-        self._lay(SMALLEST)
+        self._lay(MIN_SLOTS)
 
     def __len__(self) -> int:
         """How many places there are."""
@@ -61,32 +61,32 @@
             slot = (slot + 1) & mask
         return found
 
-    def add(self, key: int, place: int) -> None:
+    def add(self, key: int, location: int) -> None:
         """One more place of a key."""
-        if self._used >= self._mask * FULL:
+        if self._used >= self._mask * MAX_LOAD_FACTOR:
             self._grow()
         places, mask = self._places, self._mask
         slot = key & mask
         while places[slot] != _EMPTY:
             slot = (slot + 1) & mask
-        self._keys[slot], places[slot] = key, place
+        self._keys[slot], places[slot] = key, location
         self._used += 1
         self.count += 1
 
-    def move(self, key: int, old: int, new: int) -> bool:
+    def replace(self, key: int, current: int, replacement: int) -> bool:
         """Put a place instead of another; False where the key has not got that one."""
         keys, places, mask = self._keys, self._places, self._mask
         slot = key & mask
         while (place := places[slot]) != _EMPTY:
-            if place == old and keys[slot] == key:
-                places[slot] = new
+            if place == current and keys[slot] == key:
+                places[slot] = replacement
                 return True
             slot = (slot + 1) & mask
         return False
 
-    def drop(self, key: int, place: int) -> bool:
+    def remove(self, key: int, location: int) -> bool:
         """Forget a place; False where the key has not got it."""
-        if not self.move(key, place, _GRAVE):
+        if not self.replace(key, location, _GRAVE):
             return False
         self.count -= 1
         return True
@@ -97,20 +97,20 @@
             if place > _GRAVE:
                 yield key, place
 
-    def forget_before(self, segment: int) -> int:
+    def remove_before(self, segment: int) -> int:
         """Forget all places in segments before this one; how many there were."""
         floor, before = segment << (_OFFSET + _STATE), self.count
         keys, places = self._keys, self._places
         self.count = sum(1 for place in places if place >= floor)
-        slots = SMALLEST
-        while slots * FULL <= self.count * 1.2:
+        slots = MIN_SLOTS
+        while slots * MAX_LOAD_FACTOR <= self.count * 1.2:
             slots *= 2
         self._refill(keys, places, slots, floor)
         return before - self.count
 
     def _grow(self) -> None:
         slots = self._mask + 1
-        if self.count > slots * FULL / 2:  # else graves fill it
+        if self.count > slots * MAX_LOAD_FACTOR / 2:  # else graves fill it
             slots *= 2
         self._refill(self._keys, self._places, slots, _GRAVE + 1)
 
