--- a/frostfall/bench/copies.py
+++ b/frostfall/bench/copies.py
@@ -21,8 +21,8 @@
 from frostfall.bench.cluster import Cluster
 from frostfall.bench.power_loss import Progress, group_off, older, target
 from frostfall.bench.schedules import judge_seed
-from frostfall.copies.rules import Copies
 from frostfall.model.search import Mutation, search
+from frostfall.replication.options import ReplicationOptions
 
 LOAD = {"rate": 80.0, "unsafe": 0.6, "patience": 5.0}
 ASKED_AGAIN = 12  # operations of a lost machine that are asked for again at others
@@ -144,7 +144,7 @@
 
 def small_world(items: int) -> tuple[dict[str, Any], report.Row]:
     """The exhaustive search, of the protocol and of its mutants with one item."""
-    rules = Copies(2, 1)
+    rules = ReplicationOptions(2, 1)
     whole = search(rules, items)
     found = {field.name: search(rules, 1, Mutation(**{field.name: True})) for field in fields(Mutation)}
     states = {name: each.states for name, each in found.items() if each.breach}
--- a/frostfall/agreement/log.py
+++ b/frostfall/consensus/raft_log.py
@@ -24,7 +24,7 @@
     state: Any = None
 
 
-class Log:
+class RaftLog:
     """Entries from the one after the snapshot on; indices begin with 1."""
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -33,7 +33,7 @@
         self.entries: list[Entry] = []
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """The index of the last entry."""
         return self.snapshot.index + len(self.entries)
 
@@ -46,25 +46,25 @@
         """The term of an entry; None where it is not here, or no longer."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        if self.snapshot.index < index <= self.last:
+        if self.snapshot.index < index <= self.last_index:
             return self.entries[index - self.snapshot.index - 1].term
         return None
 
-    def after(self, index: int, most: int = 64) -> list[Entry]:
+    def entries_after(self, index: int, limit: int = 64) -> list[Entry]:
         """Entries behind an index that is here, so many at most."""
         begin = index - self.snapshot.index
-        return self.entries[begin : begin + most]
+        return self.entries[begin : begin + limit]
 
-    def get(self, index: int) -> Entry:
+    def entry_at(self, index: int) -> Entry:
         """One entry that is here."""
         return self.entries[index - self.snapshot.index - 1]
 
     def append(self, entry: Entry) -> int:
         """One more; its index."""
         self.entries.append(entry)
-        return self.last
+        return self.last_index
 
-    def fit(self, index: int, entries: list[Entry]) -> int | None:
+    def reconcile(self, index: int, entries: list[Entry]) -> int | None:
         """Take in entries that follow an index: from where on the log is another now; None where it is not.
 
         What agrees stays: a message that comes late must not take back what came after it.
@@ -87,7 +87,7 @@
                 return entry.voters
         return self.snapshot.voters
 
-    def voters_at(self) -> int:
+    def voters_index(self) -> int:
         """The index of that entry."""
         for offset in range(len(self.entries), 0, -1):
             if self.entries[offset - 1].voters is not None:
@@ -97,5 +97,5 @@
     def compact(self, snapshot: Snapshot) -> None:
         """Let a snapshot stand for the entries up to its index."""
         known = self.term_at(snapshot.index) is not None
-        keep = self.after(snapshot.index, len(self.entries)) if known else []
+        keep = self.entries_after(snapshot.index, len(self.entries)) if known else []
         self.snapshot, self.entries = snapshot, keep
--- a/frostfall/model/power.py
+++ b/frostfall/model/power.py
@@ -398,14 +398,14 @@
     def request(
         self, make: Callable[[int], MemberMessage], told: Callable[[MemberMessage | None], None]
     ) -> None:
-        """See net.group."""
+        """See net.member_transport."""
         self._put(make(1), told)
 
     def request_endpoint_list(self, have: Callable[[Any], None]) -> None:
         """There is one list for all."""
 
     def query_status(self, operation: str, told: Callable[[PeerOperationStatus | None], None]) -> None:
-        """See net.group."""
+        """See net.member_transport."""
 
         def answered(message: MemberMessage | None) -> None:
             told(
--- a/frostfall/net/repair.py
+++ b/frostfall/net/anti_entropy.py
@@ -9,9 +9,6 @@
 import anyio
 
 from frostfall import log
-from frostfall.copies.catalogue import EMPTY, MARKS, Catalogue, Comparison, Mark, Question, answer
-from frostfall.copies.holding import Holding, parts_of_copy
-from frostfall.copies.repair import LATEST, Pair, Repair
 from frostfall.membership.member_list import MemberList, MemberState
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection
@@ -25,66 +22,79 @@
 )
 from frostfall.recovery.facts import Keeps
 from frostfall.recovery.ledger import Ledger, aged_in, answer_in, name_in, payload
+from frostfall.replication.anti_entropy import MAX_RETRY_DELAY, AntiEntropyScheduler, SyncTask
+from frostfall.replication.digest_tree import (
+    DIGEST_STATES,
+    EMPTY_TREE,
+    DigestQuery,
+    DigestState,
+    DigestTree,
+    TreeComparison,
+    answer_query,
+)
+from frostfall.replication.replica_store import ReplicaStore, split_replica_name
 from frostfall.storage import segment_codec
 from frostfall.storage.record_index import pack_location, unpack_location
 from frostfall.storage.segment_codec import Record, RecordState, SegmentEnd
 from frostfall.storage.write_ahead_log import operation_key
 
-TOGETHER = 256  # operations in one answer, which has so many bytes at most, but for the last one's
-TOGETHER_BYTES = 256 * 1024
-BLOCK = 32  # of them that are read or written before others have a turn
-SLICE = 64  # records that are read through before others have a turn
-REST = 0.002  # seconds of that turn at least
-LOOK = 0.25  # seconds between two looks for what is due
-ANSWER = 10.0  # seconds in which a party has to answer; it may have to read its own log through first
-IDLE = 60.0  # seconds for which a party's session is kept
+MAX_BATCH_ITEMS = 256  # operations in one answer, which has so many bytes at most, but for the last one's
+MAX_BATCH_BYTES = 256 * 1024
+ITEMS_PER_SLICE = 32  # of them that are read or written before others have a turn
+RECORDS_PER_SLICE = 64  # records that are read through before others have a turn
+SLICE_PAUSE = 0.002  # seconds of that turn at least
+POLL_INTERVAL = 0.25  # seconds between two looks for what is due
+RESPONSE_TIMEOUT = (
+    10.0  # seconds in which a party has to answer; it may have to read its own log through first
+)
+SESSION_IDLE_TIMEOUT = 60.0  # seconds for which a party's session is kept
 
 _log = log.get("repair")
-Records = dict[tuple[str, bool], Catalogue]  # by owner, operations or fences
+DigestTrees = dict[tuple[str, bool], DigestTree]  # by owner, operations or fences
 
 
-class Failed(Exception):
+class SyncError(Exception):
     """A party did not answer as it should; the pair is tried again."""
 
 
-class Repairing:
+class AntiEntropyDriver:
     """One agent's rounds, and its answers in those of others."""
 
     def __init__(
         self,
-        repair: Repair,
+        scheduler: AntiEntropyScheduler,
         disk: LogWriter,
         ledger: Ledger,
-        holding: Holding,
+        store: ReplicaStore,
         members: MemberList,
         lines: dict[str, MemberConnection],
-        steady: Callable[[], float],
-        sure: Callable[[str, str, str], bool],
-        restored: Callable[[], None],
-        rotten: Callable[[str], None],
+        monotonic: Callable[[], float],
+        is_authoritative: Callable[[str, str, str], bool],
+        on_restored: Callable[[], None],
+        on_corruption: Callable[[str], None],
     ) -> None:
         """`sure`: whether an owner's record is whole here and this sender's life is on disk.
 
         `restored` is called when all that was lost is back, `rotten` when the log cannot be read any more.
         """
-        self.repair, self._disk, self._ledger, self._holding = repair, disk, ledger, holding
-        self._members, self._lines, self._steady, self._sure = members, lines, steady, sure
-        self._restored, self._rotten = restored, rotten
-        self._sessions: dict[str, tuple[tuple[str, int], float, Records]] = {}  # by sender
+        self.scheduler, self._disk, self._ledger, self._holding = scheduler, disk, ledger, store
+        self._members, self._lines, self._steady, self._sure = members, lines, monotonic, is_authoritative
+        self._restored, self._rotten = on_restored, on_corruption
+        self._sessions: dict[str, tuple[tuple[str, int], float, DigestTrees]] = {}  # by sender
         self._numbers = count(1)
         self._reading = anyio.Lock()
         self._lives: dict[str, str] = {}  # with which life of each party something has been compared
-        self.taken = self.bytes = 0  # operations and bytes that were brought here
+        self.restored_operations = self.received_bytes = 0  # operations and bytes that were brought here
         self._rot: set[int] = set()  # segments that are to leave
         self._due = 0.0  # when all is compared next
 
-    def keeps(self) -> Keeps:
+    def assignment(self) -> Keeps:
         """What to write down of whose records are whole here."""
-        return Keeps(self.repair.kept, sorted(self.repair.zones))
+        return Keeps(self.scheduler.complete_owners, sorted(self.scheduler.zones))
 
     # ---- what is on disk here -------------------------------------------------------------------------
 
-    async def _survey(self) -> Records:
+    async def _survey(self) -> DigestTrees:
         """All operations that count, from the log itself, in turns; its checksums are looked at on the way.
 
         What was on disk when this began is in it, also where it was written anew meanwhile.
@@ -95,7 +105,7 @@
             while later := [each for each in journal.segment_numbers if each > number]:
                 number = later[0]
                 await self._survey_one(number, found)
-        return {key: await self._disk.run_blocking(Catalogue, places) for key, places in found.items()}
+        return {key: await self._disk.run_blocking(DigestTree, places) for key, places in found.items()}
 
     async def _survey_one(self, number: int, found: dict[tuple[str, bool], dict[int, int]]) -> None:
         journal, keep = self._disk.wal, self._disk.wal.options.keep
@@ -112,14 +122,14 @@
             return  # it has left meanwhile
         seen, segment = 0, segment_codec.SegmentScan()
         for state, key, _, offset, data in segment_codec.iter_records(raw, last, segment):
-            if (seen := seen + 1) % SLICE == 0:
-                await anyio.sleep(REST)
+            if (seen := seen + 1) % RECORDS_PER_SLICE == 0:
+                await anyio.sleep(SLICE_PAUSE)
             if state == RecordState.METADATA or not journal.is_current(
                 key, place := pack_location(number, offset, RecordState(state))
             ):
                 continue
             text = bytes(data)
-            owner, name = parts_of_copy(name_in(text))
+            owner, name = split_replica_name(name_in(text))
             ended = RecordState(state) not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
             if ended and self._age(number, text) >= keep:
                 continue  # it is about to leave here, and must not live for ever by going round
@@ -155,45 +165,47 @@
                 again = payload(name_in(text), answer_in(text), max(int(self._age(segment, text)), 1))
                 ticket = journal.append(Record(state, record[1], again, place))
                 self._disk.wake()
-                if ticket % SLICE == 0 and not await self._disk.wait_durable(ticket):
+                if ticket % RECORDS_PER_SLICE == 0 and not await self._disk.wait_durable(ticket):
                     return
         if await self._disk.wait_durable(ticket):
             journal.retire_through(until)
             while min(journal.segment_numbers) <= until and not journal.failure_reason:
                 self._disk.wake()
-                await anyio.sleep(LOOK)
+                await anyio.sleep(POLL_INTERVAL)
             self._rot.clear()
             _log.info("rotten segments have left", up_to=until)
 
     # ---- answers ---------------------------------------------------------------------------------------
 
-    async def told(self, message: DigestRequest) -> MemberMessage:
+    async def handle_compare(self, message: DigestRequest) -> MemberMessage:
         """Answer a party's question."""
         # Danger: asked only once its life is on disk here, all that this member does from now on counts no
         # acknowledgement of an earlier one; so what is read below is all that can rest on such.
         sure, now = self._sure(message.owner, message.sender, message.incarnation_token), self._steady()
         known = self._sessions.get(message.sender)
-        self._sessions = {name: each for name, each in self._sessions.items() if now - each[1] < IDLE}
+        self._sessions = {
+            name: each for name, each in self._sessions.items() if now - each[1] < SESSION_IDLE_TIMEOUT
+        }
         # Danger: sessions are counted anew in each life, and what was read for an earlier one is too old.
         if known is None or known[0] != (message.incarnation_token, message.session):
             known = (message.incarnation_token, message.session), now, await self._survey()
         self._sessions[message.sender] = known[0], self._steady(), known[2]
-        catalogue = known[2].get((message.owner, message.compare_fences), EMPTY)
+        catalogue = known[2].get((message.owner, message.compare_fences), EMPTY_TREE)
         data, items = b"", list[tuple[int, str, bytes | None, int]]()
         if message.level == DIGEST_ITEMS:
             seen = size = 0
-            for key in message.selectors[:TOGETHER]:
-                found = self._item(catalogue.place(key))
+            for key in message.selectors[:MAX_BATCH_ITEMS]:
+                found = self._item(catalogue.location(key))
                 items += found
                 seen, size = seen + 1, size + sum(len(given or b"") for _, _, given, _ in found)
-                if size >= TOGETHER_BYTES:
+                if size >= MAX_BATCH_BYTES:
                     break
-                if seen % BLOCK == 0:
+                if seen % ITEMS_PER_SLICE == 0:
                     await anyio.sleep(0)
             data = seen.to_bytes(4, "little")
         else:
-            data = answer(
-                catalogue, Question(message.level == DIGEST_ENTRIES, message.depth, message.selectors)
+            data = answer_query(
+                catalogue, DigestQuery(message.level == DIGEST_ENTRIES, message.depth, message.selectors)
             )
         sure = sure and self._sure(message.owner, message.sender, message.incarnation_token)
         return DigestReply(message.request_id, sure, self._members.incarnation_token, data, items)
@@ -207,7 +219,7 @@
             return []  # it has moved since: the next round has it
         ended = state not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
         aged = int(self._age(segment, record[2])) if ended else 0
-        return [(state, parts_of_copy(name_in(record[2]))[1], answer_in(record[2]), aged)]
+        return [(state, split_replica_name(name_in(record[2]))[1], answer_in(record[2]), aged)]
 
     # ---- rounds ----------------------------------------------------------------------------------------
 
@@ -219,78 +231,78 @@
             except Exception:
                 # Danger: one record that cannot be read must end neither the rounds nor the agent.
                 _log.exception("round failed")
-                await anyio.sleep(LATEST)
-            await anyio.sleep(LOOK)
+                await anyio.sleep(MAX_RETRY_DELAY)
+            await anyio.sleep(POLL_INTERVAL)
 
     async def _turn(self) -> None:
-        repair, now, peers = self.repair, self._steady(), self._members.peers
+        repair, now, peers = self.scheduler, self._steady(), self._members.peers
         if now >= self._due:
-            self._due = now + repair.rules.round
-            repair.compare(now)
-            if not repair.parties(repair.own):
+            self._due = now + repair.options.round
+            repair.schedule(now)
+            if not repair.peers_of(repair.own):
                 await self._survey()  # nobody to compare with: the checksums are looked at all the same
         here = {name for name in self._lines if peers[name].state is MemberState.ALIVE}
-        repair.health(now, set(peers) - here)
+        repair.update_unavailable(now, set(peers) - here)
         for name in here:
             if self._lives.get(name) != (token := peers[name].recorded_incarnation.token):
                 self._lives[name] = token
-                repair.compare(now, name)
-        if pairs := repair.next(now, here):
+                repair.schedule(now, name)
+        if pairs := repair.due_tasks(now, here):
             await self._round(pairs)
-        if repair.restored:
+        if repair.all_restored:
             self._restored()
-        if self._rot and not repair.lost:
+        if self._rot and not repair.incomplete_owners:
             await self._leave_rot()
 
-    async def _round(self, pairs: list[Pair]) -> None:
+    async def _round(self, pairs: list[SyncTask]) -> None:
         own, session = await self._survey(), next(self._numbers)
-        before, size, began = self.taken, self.bytes, self._steady()
+        before, size, began = self.restored_operations, self.received_bytes, self._steady()
         for pair in pairs:
             good = sure = False
             try:
                 sure = await self._take_over(pair, own, session)
                 good = True
-            except Failed as error:
-                _log.info("not compared", owner=pair.owner, party=pair.party, why=str(error))
-            self.repair.taken(pair, self._steady(), good, sure)
-        if self.taken > before:
+            except SyncError as error:
+                _log.info("not compared", owner=pair.owner, party=pair.peer, why=str(error))
+            self.scheduler.record_result(pair, self._steady(), good, sure)
+        if self.restored_operations > before:
             _log.info(
                 "taken over",
-                operations=self.taken - before,
-                bytes=self.bytes - size,
+                operations=self.restored_operations - before,
+                bytes=self.received_bytes - size,
                 seconds=round(self._steady() - began, 3),
             )
 
-    async def _take_over(self, pair: Pair, own: Records, session: int) -> bool:
+    async def _take_over(self, pair: SyncTask, own: DigestTrees, session: int) -> bool:
         """Take what a party has of an owner's record and this member lacks; whether the party was sure."""
         sure = True
         for fences in (False, True):
-            if fences and pair.owner in (pair.party, self.repair.own):
+            if fences and pair.owner in (pair.peer, self.scheduler.own):
                 continue  # an owner has none
-            mine, had = own.get((pair.owner, fences), EMPTY), dict[int, RecordState]()
-            comparison = Comparison(mine)
-            while question := comparison.question():
-                what = DIGEST_ENTRIES if question.entries else DIGEST_SUMS
+            mine, had = own.get((pair.owner, fences), EMPTY_TREE), dict[int, RecordState]()
+            comparison = TreeComparison(mine)
+            while question := comparison.next_query():
+                what = DIGEST_ENTRIES if question.wants_entries else DIGEST_SUMS
                 told = await self._ask(pair, fences, what, question.depth, question.prefixes, session)
                 sure = sure and told.authoritative
                 try:
-                    comparison.answered(question, told.data)
+                    comparison.handle_response(question, told.data)
                 except ValueError as error:
-                    raise Failed(str(error)) from None
-            keys = comparison.lacking
+                    raise SyncError(str(error)) from None
+            keys = comparison.missing_keys
             while keys:
-                told = await self._ask(pair, fences, DIGEST_ITEMS, 0, keys[:TOGETHER], session)
+                told = await self._ask(pair, fences, DIGEST_ITEMS, 0, keys[:MAX_BATCH_ITEMS], session)
                 sure, seen = sure and told.authoritative, int.from_bytes(told.data, "little")
-                if not 0 < seen <= TOGETHER:
-                    raise Failed("no items")
+                if not 0 < seen <= MAX_BATCH_ITEMS:
+                    raise SyncError("no items")
                 keys = keys[seen:]
                 await self._restore(pair.owner, told, had)
             if had:  # so that the next party's sums are not asked for all over again
-                own[pair.owner, fences] = await self._disk.run_blocking(mine.with_more, had)
+                own[pair.owner, fences] = await self._disk.run_blocking(mine.with_added, had)
         return sure
 
     async def _ask(
-        self, pair: Pair, fences: bool, what: int, depth: int, asked: list[int], session: int
+        self, pair: SyncTask, fences: bool, what: int, depth: int, asked: list[int], session: int
     ) -> DigestReply:
         told: list[MemberMessage | None] = []
         came = anyio.Event()
@@ -299,7 +311,7 @@
             told.append(message)
             came.set()
 
-        self._lines[pair.party].request(
+        self._lines[pair.peer].request(
             lambda number: DigestRequest(
                 number,
                 pair.owner,
@@ -313,37 +325,37 @@
             ),
             take,
         )
-        with anyio.move_on_after(ANSWER):
+        with anyio.move_on_after(RESPONSE_TIMEOUT):
             await came.wait()
         if not told or not isinstance(told[0], DigestReply):
-            raise Failed("no answer")
-        if told[0].incarnation_token != self._members.peers[pair.party].recorded_incarnation.token:
-            raise Failed("another life of it answered")
+            raise SyncError("no answer")
+        if told[0].incarnation_token != self._members.peers[pair.peer].recorded_incarnation.token:
+            raise SyncError("another life of it answered")
         told_bytes = sum(len(name) + len(given or b"") + 16 for _, name, given, _ in told[0].items)
-        self.bytes += len(told[0].data) + told_bytes + 8 * len(asked)
+        self.received_bytes += len(told[0].data) + told_bytes + 8 * len(asked)
         return told[0]
 
     async def _restore(self, owner: str, told: DigestReply, had: dict[int, RecordState]) -> None:
         ticket, size, maybe = 0, 0, list[str]()
         for place, (state, name, given, aged) in enumerate(told.items, 1):
-            if place % BLOCK == 0:
+            if place % ITEMS_PER_SLICE == 0:
                 self._disk.wake()
                 await anyio.sleep(0)
-            mark = MARKS[RecordState(state)]
+            mark = DIGEST_STATES[RecordState(state)]
             if owner == self._disk.wal.owner:
                 new = self._ledger.restore(RecordState(state), name, given, aged)
-                if new and mark is Mark.MAY_HAVE_RUN:
+                if new and mark is DigestState.MAY_HAVE_RUN:
                     maybe.append(name)
             else:
                 new = self._holding.restore(owner, RecordState(state), name, given, aged)
             if new is None:
-                raise Failed(f"{name} is under way here")
+                raise SyncError(f"{name} is under way here")
             had[operation_key(name)] = RecordState(state)
-            ticket, self.taken = max(ticket, new), self.taken + (new > 0)
+            ticket, self.restored_operations = max(ticket, new), self.restored_operations + (new > 0)
             size += len(name) + len(given or b"") + 32
         self._disk.wake()
         if not await self._disk.wait_durable(ticket):
-            raise Failed("the disk has failed here")
+            raise SyncError("the disk has failed here")
         for name in maybe:
             self._ledger.restored(name)
-        await anyio.sleep(size / self.repair.rules.rate)
+        await anyio.sleep(size / self.scheduler.options.rate)
--- a/frostfall/net/agreement.py
+++ b/frostfall/net/consensus.py
@@ -9,21 +9,31 @@
 import msgspec
 
 from frostfall import log
-from frostfall.agreement.log import Entry, Snapshot
-from frostfall.agreement.raft import Append, Appended, AskVote, Hard, Install, Raft, Vote
-from frostfall.agreement.register import Put, Register
+from frostfall.consensus.raft import (
+    AppendEntries,
+    AppendEntriesResponse,
+    HardState,
+    InstallSnapshot,
+    Raft,
+    RequestVote,
+    RequestVoteResponse,
+)
+from frostfall.consensus.raft_log import Entry, Snapshot
+from frostfall.consensus.register import CompareAndSet, Register
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection
 from frostfall.protocol.member_messages import ConsensusMessage
 from frostfall.recovery.facts import Agreed, Fact, Ruled, Voted
 
-TURN = 0.05  # seconds: an election begins after half a second to a second without a leader
+TICK_INTERVAL = 0.05  # seconds: an election begins after half a second to a second without a leader
 
 _log = log.get("agreement")
-_DECODER = msgspec.msgpack.Decoder(AskVote | Vote | Append | Appended | Install)
+_DECODER = msgspec.msgpack.Decoder(
+    RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot
+)
 
 
-class Agreement:
+class ConsensusDriver:
     """One member of the register."""
 
     def __init__(
@@ -31,27 +41,27 @@
         name: str,
         voters: tuple[str, ...],
         disk: LogWriter,
-        note: Callable[[Fact], int],
+        write_fact: Callable[[Fact], int],
         lines: dict[str, MemberConnection],
         seed: int,
     ) -> None:
         """`note` writes a fact down and gives its ticket; `recall` is handed what was written before."""
-        self._name, self._disk, self._note, self._lines, self._seed = name, disk, note, lines, seed
-        self._hard, self._snapshot = Hard(), Snapshot(voters=voters)
+        self._name, self._disk, self._note, self._lines, self._seed = name, disk, write_fact, lines, seed
+        self._hard, self._snapshot = HardState(), Snapshot(voters=voters)
         self._entries: dict[int, Entry] = {}
         self.raft: Raft | None = None
         self.register = Register()
-        self._waiting: dict[int, tuple[Put, Callable[[bool], None]]] = {}
+        self._waiting: dict[int, tuple[CompareAndSet, Callable[[bool], None]]] = {}
         self._changed = anyio.Event()
         self._leader = ""
 
     # ---- the past ------------------------------------------------------------------------------------
 
-    def recall(self, fact: Voted | Ruled | Agreed) -> None:
+    def restore(self, fact: Voted | Ruled | Agreed) -> None:
         """What was written down, in order."""
         match fact:
             case Voted(term, vote):
-                self._hard = Hard(term, vote)
+                self._hard = HardState(term, vote)
             case Ruled(index, raw):
                 self._entries = {at: entry for at, entry in self._entries.items() if at < index}
                 self._entries[index] = msgspec.convert(raw, Entry)
@@ -61,10 +71,10 @@
                     at: entry for at, entry in self._entries.items() if at > self._snapshot.index
                 }
 
-    def facts(self) -> Iterable[Fact]:
+    def stored_state(self) -> Iterable[Fact]:
         """What a new segment of the record begins with."""
         yield Agreed(msgspec.to_builtins(self._snapshot))
-        yield Voted(self._hard.term, self._hard.vote)
+        yield Voted(self._hard.term, self._hard.voted_for)
         for index in sorted(self._entries):
             yield Ruled(index, msgspec.to_builtins(self._entries[index]))
 
@@ -89,11 +99,11 @@
 
     async def _tick(self) -> None:
         while self.raft:
-            await anyio.sleep(TURN)
+            await anyio.sleep(TICK_INTERVAL)
             self.raft.tick()
             self._changed.set()
 
-    def take(self, message: ConsensusMessage) -> None:
+    def handle_message(self, message: ConsensusMessage) -> None:
         """What another member says."""
         if self.raft is None:
             return
@@ -109,32 +119,32 @@
         """Carry out what is ready, in order; False where the disk has failed."""
         out, ticket = raft.ready(), 0
         if out.snapshot is not None:
-            self.recall(agreed := Agreed(msgspec.to_builtins(out.snapshot)))
+            self.restore(agreed := Agreed(msgspec.to_builtins(out.snapshot)))
             ticket = self._note(agreed)
-        if out.hard is not None:
-            self.recall(voted := Voted(out.hard.term, out.hard.vote))
+        if out.hard_state is not None:
+            self.restore(voted := Voted(out.hard_state.term, out.hard_state.voted_for))
             ticket = self._note(voted)
         for index, entry in out.entries:
-            self.recall(ruled := Ruled(index, msgspec.to_builtins(entry)))
+            self.restore(ruled := Ruled(index, msgspec.to_builtins(entry)))
             ticket = self._note(ruled)
         if ticket and not await self._disk.wait_durable(ticket):
             return False
         for name, word in out.messages:
             if line := self._lines.get(name):
                 line.send(ConsensusMessage(self._name, msgspec.msgpack.encode(word)))
-        if out.restored is not None:
-            self.register = Register(out.restored.state)
-        for index, entry in out.committed:
+        if out.restored_snapshot is not None:
+            self.register = Register(out.restored_snapshot.state)
+        for index, entry in out.committed_entries:
             self._apply(index, entry)
-        raft.stored()
-        if not raft.leads:
+        raft.advance()
+        if not raft.is_leader:
             self._give_up()
         if (snapshot := raft.compact(self.register.state())) is not None:
-            self.recall(agreed := Agreed(msgspec.to_builtins(snapshot)))
+            self.restore(agreed := Agreed(msgspec.to_builtins(snapshot)))
             self._note(agreed)
         if raft.leader != self._leader:
             self._leader = raft.leader
-            _log.info("leader", leader=raft.leader, term=raft.hard.term)
+            _log.info("leader", leader=raft.leader, term=raft.hard_state.term)
         return True
 
     def _apply(self, index: int, entry: Entry) -> None:
@@ -142,7 +152,8 @@
         if waiting := self._waiting.pop(index, None):
             put, told = waiting
             mine = (
-                entry.command is not None and msgspec.convert(msgspec.to_builtins(entry.command), Put) == put
+                entry.command is not None
+                and msgspec.convert(msgspec.to_builtins(entry.command), CompareAndSet) == put
             )
             told(good and mine)
 
@@ -152,15 +163,17 @@
         for _, told in waiting.values():
             told(False)
 
-    async def put(self, key: str, value: Any, version: int, number: int) -> bool | None:
+    async def compare_and_set(
+        self, key: str, value: Any, expected_version: int, sequence_number: int
+    ) -> bool | None:
         """Change a key from a version; False where that was not it, or another leads by now.
 
         None where this member does not lead: `raft.leader` says who may. False does not prove that nothing
         was changed, as who loses the lead cannot know; the key's version tells.
         """
-        if self.raft is None or not self.raft.leads:
+        if self.raft is None or not self.raft.is_leader:
             return None
-        put = Put(key, value, version, self._name, number)
+        put = CompareAndSet(key, value, expected_version, self._name, sequence_number)
         index = self.raft.propose(put)
         if index is None:
             return None
--- a/frostfall/net/operations.py
+++ b/frostfall/net/operations.py
@@ -10,11 +10,10 @@
 from anyio.abc import TaskGroup
 
 from frostfall import interface as api
-from frostfall.copies.holding import Holding, Item
 from frostfall.membership.member_list import MemberList, MemberState
-from frostfall.net.copies import Copies
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection, PeerOperationStatus
+from frostfall.net.replication import ReplicationDriver
 from frostfall.protocol.ending import Ending, Final
 from frostfall.protocol.pg import READY
 from frostfall.protocol.pg_client import Row
@@ -25,6 +24,7 @@
 from frostfall.recovery.ledger import Ledger, Operation, Way, Word
 from frostfall.recovery.rules import Group
 from frostfall.recovery.spread import Spread
+from frostfall.replication.replica_store import ReplicaStore, ReplicaUpdate
 from frostfall.storage.segment_codec import RecordState
 
 EARLY = 10_000  # microseconds before its deadline at which a try that waits is given up
@@ -96,13 +96,13 @@
         steady: Callable[[], float],
         spread: Spread,
         ledger: Ledger,
-        holding: Holding,
+        holding: ReplicaStore,
         disk: LogWriter,
         members: MemberList,
         gates: Gates,
         facts: Facts,
         lines: dict[str, MemberConnection],
-        copies: Copies | None,
+        copies: ReplicationDriver | None,
         unreadable: Callable[[Exception], None],
         whole: Callable[[str], bool],
     ) -> None:
@@ -171,7 +171,7 @@
     def _copy_of(self, name: str) -> operations.Told | None:
         """The answer that another member gave, where its copy is here."""
         try:
-            words = [self.holding.word(member, name) for member in (*self.members.peers, *self._gone)]
+            words = [self.holding.read(member, name) for member in (*self.members.peers, *self._gone)]
         except (OSError, ValueError) as error:
             self._unreadable(error)
             return None
@@ -253,7 +253,7 @@
 
     def _stands(self, operation: Operation) -> bool:
         """Whether enough holders still have the intent: one may have lost its disk since it said so."""
-        return self.copies is None or self.copies.stands(operation.acknowledged)
+        return self.copies is None or self.copies.has_write_quorum(operation.acknowledged)
 
     async def _down(self, operation: Operation, ticket: int, over: Callable[[], bool], deadline: int) -> bool:
         """Wait until an intent is on disk here and, where copies are kept, at enough holders."""
@@ -268,8 +268,8 @@
 
             async def promise() -> None:
                 assert self.copies
-                promised[0] = await self.copies.promise(
-                    Item(RecordState.OPEN, operation.name), late, operation.acknowledged
+                promised[0] = await self.copies.quorum_write(
+                    ReplicaUpdate(RecordState.OPEN, operation.name), late, operation.acknowledged
                 )
 
             group.start_soon(promise)
@@ -355,7 +355,9 @@
 
         async def read(place: int, owner: str) -> None:
             assert self.copies
-            found[place] = await self.copies.settle(owner, name, fence, within, partial(self._sure, owner))
+            found[place] = await self.copies.fenced_read(
+                owner, name, fence, within, partial(self._sure, owner)
+            )
 
         async with anyio.create_task_group() as group:
             for place, owner in enumerate(owners):
@@ -492,7 +494,7 @@
         given = None if answer is None else answer + READY
         copied = self.copies is not None and ticket > 0
         if self.copies and copied and state is not RecordState.SERVED:
-            self.copies.tell(Item(state, operation.name))
+            self.copies.write_in_background(ReplicaUpdate(state, operation.name))
 
         def on_disk(good: bool) -> None:
             more = self.ledger.done(operation) if good else 0
@@ -515,9 +517,9 @@
         """Give a served answer once enough holders have it."""
         assert self.copies
         kept = answer if answer is not None and len(answer) <= self.rules.store.answer_bytes else None
-        item = Item(RecordState.SERVED, operation.name, kept)
+        item = ReplicaUpdate(RecordState.SERVED, operation.name, kept)
         # Settled by others meanwhile, it was told to have perhaps run: that is what this client is told too.
-        good = await self.copies.promise(item, lambda: self._clock() >= operation.until, {})
+        good = await self.copies.quorum_write(item, lambda: self._clock() >= operation.until, {})
         self._tell(operation, given if good else failed())
 
     def _tell(self, operation: Operation, answer: bytes) -> None:
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -16,18 +16,15 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall.config import Address, Config
-from frostfall.copies.holding import Holding, is_copy
-from frostfall.copies.repair import Repair
-from frostfall.copies.words import NONE, Words
 from frostfall.limits.stall_adjusted_clock import StallAdjustedClock
 from frostfall.membership.member_list import HeartbeatVerdict, Incarnation, MemberList, MemberState
 from frostfall.net import log_writer
-from frostfall.net.agreement import Agreement
-from frostfall.net.copies import Copies
+from frostfall.net.anti_entropy import AntiEntropyDriver
+from frostfall.net.consensus import ConsensusDriver
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import CONNECTIONS_PER_MEMBER, MemberConnection, MemberListener, Response
 from frostfall.net.operations import Front, Operations
-from frostfall.net.repair import Repairing
+from frostfall.net.replication import ReplicationDriver
 from frostfall.protocol.listing import Listing
 from frostfall.protocol.member_messages import (
     ConsensusMessage,
@@ -49,6 +46,9 @@
 from frostfall.recovery.ledger import Ledger, Word
 from frostfall.recovery.rules import Group
 from frostfall.recovery.spread import Spread
+from frostfall.replication.anti_entropy import AntiEntropyScheduler
+from frostfall.replication.operator_holds import NO_HOLD, OperatorHolds
+from frostfall.replication.replica_store import ReplicaStore, is_replica_name
 from frostfall.storage import segment_codec
 from frostfall.storage.segment_codec import Record, RecordState
 from frostfall.storage.write_ahead_log import LogCondition, WriteAheadLog
@@ -95,21 +95,21 @@
             rules.store.answer_bytes,
             rules.copies is not None,
         )
-        self.holding = Holding(self.journal, self.disk.find_record)
+        self.holding = ReplicaStore(self.journal, self.disk.find_record)
         self.members = MemberList(config.name, tuple(member.name for member in rules.here), rules.turns)
         self.gates = Gates(len(rules.here), rules.retries_marked, rules.waits)
         self.facts = Facts()
         self._lines: dict[str, MemberConnection] = {}
         zones = {member.name: member.zone for member in rules.members}
         gone = frozenset(member.name for member in rules.members if member.gone)
-        repair = Repair(config.name, zones, rules.copies, gone) if rules.copies else None
+        repair = AntiEntropyScheduler(config.name, zones, rules.copies, gone) if rules.copies else None
         self.copies = (
-            Copies(config.name, rules.copies, repair, self.members, self.disk, self.holding)
+            ReplicationDriver(config.name, rules.copies, repair, self.members, self.disk, self.holding)
             if rules.copies and repair
             else None
         )
         self.repairing = (
-            Repairing(
+            AntiEntropyDriver(
                 repair,
                 self.disk,
                 self.ledger,
@@ -125,10 +125,10 @@
             else None
         )
         self._keeps = Keeps([], [])
-        self.words = Words(frozenset(self.members.peers))
+        self.words = OperatorHolds(frozenset(self.members.peers))
         names = tuple(sorted(member.name for member in rules.here))
         self.agreement = (
-            Agreement(config.name, names, self.disk, self._note, self._lines, config.seed)
+            ConsensusDriver(config.name, names, self.disk, self._note, self._lines, config.seed)
             if rules.agreement
             else None
         )
@@ -177,7 +177,7 @@
         async with anyio.create_task_group() as group:
             self.operations.group = group
             if self.copies:
-                self.copies.group, self.copies.lines = group, self._lines
+                self.copies.task_group, self.copies.lines = group, self._lines
             group.start_soon(self._judge_on)
             group.start_soon(self._listen)
             await self._recover()
@@ -232,8 +232,8 @@
             _log.warning("no record: operators have to accept that, or to set `new` in the group's section")
         if self.repairing:
             fresh = self.journal.condition is LogCondition.FRESH
-            self.repairing.repair.keeps(
-                self.repairing.repair.owners if fresh else self._keeps.owners, self._keeps.members
+            self.repairing.scheduler.apply_assignment(
+                self.repairing.scheduler.owners if fresh else self._keeps.owners, self._keeps.members
             )
         self.facts.read = True
         if self._list:
@@ -258,9 +258,9 @@
 
     def _open_copy(self, name: str) -> bool:
         """Whether this open operation is another member's; it stays open here until its owner ends it."""
-        if is_copy(name):
-            self.holding.open[name] = 0
-        return is_copy(name)
+        if is_replica_name(name):
+            self.holding.open_tickets[name] = 0
+        return is_replica_name(name)
 
     def _payload(self, segment: int, offset: int) -> bytes:
         raw = self.disk.directory.read_range(segment, offset, 1024)
@@ -281,13 +281,13 @@
             case GoneBack(build):
                 self._gone_back = max(self._gone_back, build)
             case Hold(who, on, serial, member):
-                self.words.recall(member, (serial, who if on else ""))
-                self.facts.held = self.words.own[1]
+                self.words.restore(member, (serial, who if on else ""))
+                self.facts.held = self.words.own_hold[1]
             case Keeps() as keeps:
                 self._keeps = keeps
             case written.Voted() | written.Ruled() | written.Agreed() as fact:
                 if self.agreement:
-                    self.agreement.recall(fact)
+                    self.agreement.restore(fact)
             case KnownList() as known:
                 self._list = known
 
@@ -317,13 +317,13 @@
         if self._list:
             kept.append(self._list)
         if self.repairing:
-            kept.append(self.repairing.keeps())
+            kept.append(self.repairing.assignment())
         if self.agreement:
-            kept += self.agreement.facts()
+            kept += self.agreement.stored_state()
         return [
             *(Record(RecordState.METADATA, 0, written.encode(fact)) for fact in kept),
             *self.ledger.carried(),
-            *self.holding.carried(),
+            *self.holding.open_records(),
         ]
 
     def _note(self, fact: Fact) -> int:
@@ -393,10 +393,10 @@
         facts.unheard = tuple(name for name in self.members.peers if name not in here)
         facts.window_over = now >= self._window
         if self.copies:
-            facts.holders = self.copies.heard
-            if self.copies.few != ("few" in self._noted):
+            facts.holders = self.copies.holder_counts
+            if self.copies.is_degraded != ("few" in self._noted):
                 self._noted ^= {"few"}
-                _log.warning("copies", fewer=self.copies.few, holders=facts.holders[0])
+                _log.warning("copies", fewer=self.copies.is_degraded, holders=facts.holders[0])
         facts.contested = self.members.contested_incarnation
         if self.members.superseded_by and not facts.replaced:
             facts.replaced = f"life {self.members.superseded_by} of this member has begun elsewhere"
@@ -441,8 +441,8 @@
             peer.latest_stale_reason or peer.stale_reason,
             rolled_back_build=self._gone_back,
             endpoint_list_generation=self._generation if self.facts.list_told else -1,
-            operator_hold=self.words.own,
-            recorded_operator_hold=self.words.kept.get(member, NONE),
+            operator_hold=self.words.own_hold,
+            recorded_operator_hold=self.words.peer_holds.get(member, NO_HOLD),
         )
 
     def _heard(self, beat: Heartbeat) -> None:
@@ -501,7 +501,7 @@
     def _heard_word(self, beat: Heartbeat) -> None:
         if not self.disk.is_open:
             return
-        theirs, mine = self.words.heard(beat.sender, beat.operator_hold, beat.recorded_operator_hold)
+        theirs, mine = self.words.merge_gossip(beat.sender, beat.operator_hold, beat.recorded_operator_hold)
         if mine:
             self.facts.held = mine[1]
             self._note(Hold(mine[1], bool(mine[1]), mine[0]))
@@ -510,7 +510,7 @@
 
             def noted(good: bool) -> None:
                 if good:
-                    self.words.recall(beat.sender, theirs)
+                    self.words.restore(beat.sender, theirs)
 
             self.disk.when_durable(
                 self._note(Hold(theirs[1], bool(theirs[1]), theirs[0], beat.sender)), noted
@@ -560,17 +560,17 @@
         self.facts.doubt = self.ledger.doubt = why
         self._mute = self._mute or bool(why)
         if self.repairing and why:
-            self.repairing.repair.lose()
-            self.repairing.repair.compare(self._steady())
+            self.repairing.scheduler.mark_all_incomplete()
+            self.repairing.scheduler.schedule(self._steady())
         elif self.repairing:
-            self.repairing.repair.lost.clear()
+            self.repairing.scheduler.incomplete_owners.clear()
 
     def _whole_for(self, owner: str, sender: str, token: str) -> bool:
         """Whether the record of an owner is whole here, and a member's present life on disk."""
         return self._whole_of(owner) and self._knows(sender, token)
 
     def _whole_of(self, owner: str) -> bool:
-        return self.repairing.repair.whole(owner) if self.repairing else not self.facts.doubt
+        return self.repairing.scheduler.is_complete(owner) if self.repairing else not self.facts.doubt
 
     def _restored(self) -> None:
         """All that this record lacked has been taken over from enough others."""
@@ -578,7 +578,7 @@
         _log.warning(
             "the record is whole by its copies",
             doubt=self.facts.doubt,
-            owners=sorted(self.repairing.repair.lost),
+            owners=sorted(self.repairing.scheduler.incomplete_owners),
         )
         self._doubt_over()
 
@@ -591,7 +591,7 @@
         self._noted.discard("majority")
         self._touch()
         if self.repairing:
-            self._note(self.repairing.keeps())
+            self._note(self.repairing.assignment())
         return self._note_doubt()
 
     def _rotten(self, why: str) -> None:
@@ -629,17 +629,17 @@
                     self._lives(),
                 )
             case ReplicateRequest() if self.copies and self.disk.is_open and self.facts.read:
-                return self.copies.keep(message)
+                return self.copies.handle_write(message)
             case FencedRead(sender=sender, incarnation_token=token) if (
                 self.copies and self.disk.is_open and self.facts.read
             ):
-                return self.copies.told(
+                return self.copies.handle_read(
                     message, lambda: self._whole_for(message.owner, sender, token), self._lives()
                 )
             case DigestRequest() if self.repairing and self.disk.is_open and self.facts.read:
-                return self.repairing.told(message)
+                return self.repairing.handle_compare(message)
             case ConsensusMessage() if self.agreement and not self.facts.doubt:
-                self.agreement.take(message)
+                self.agreement.handle_message(message)
             case OperatorCommand(number, "put", who, key, value) if self.agreement:
                 return self._put(number, who, key, value)
             case EndpointListRequest(number):
@@ -679,13 +679,15 @@
     async def _order(self, number: int, what: str, who: str) -> MemberMessage:
         """An operator's word: it is answered once it is on disk, and so outlives a power loss."""
         ticket = 0
-        lacking = self.facts.doubt or self._mute or (self.repairing and self.repairing.repair.lost)
+        lacking = (
+            self.facts.doubt or self._mute or (self.repairing and self.repairing.scheduler.incomplete_owners)
+        )
         if what == "accept" and lacking and self.disk.is_open:
             _log.warning("operators accept the loss", who=who, doubt=self.facts.doubt)
             self._mute = False
             ticket = self._doubt_over()
         elif what in ("hold", "lift"):
-            serial, self.facts.held = self.words.say(who if what == "hold" else "")
+            serial, self.facts.held = self.words.issue(who if what == "hold" else "")
             ticket = self._note(Hold(who, what == "hold", serial))
             _log.warning("votes", order=what, who=who)
         self._touch()
@@ -694,10 +696,10 @@
             for line in self._lines.values():
                 line.send_heartbeat_now()
             with anyio.move_on_after(WORD_WAIT):
-                while not self.words.counts:
+                while not self.words.is_replicated:
                     await anyio.sleep(self.rules.turns.every / 4)
         return OperatorReport(
-            number, {**self.status(), "kept": kept, "copied": self.words.counts or not self.copies}
+            number, {**self.status(), "kept": kept, "copied": self.words.is_replicated or not self.copies}
         )
 
     async def _put(self, number: int, who: str, key: str, value: str) -> MemberMessage:
@@ -705,7 +707,7 @@
         assert self.agreement
         _log.warning("register", key=key, value=value, who=who)
         version = self.agreement.register.get(key).version
-        good = await self.agreement.put(key, value, version, self._clock())
+        good = await self.agreement.compare_and_set(key, value, version, self._clock())
         return OperatorReport(number, {**self.status(), "put": good})
 
     def status(self) -> dict[str, Any]:
@@ -736,15 +738,15 @@
             "bytes": journal.total_bytes,
             "segments": journal.segment_count,
             "operations": len(journal.index),
-            "copies": len(self.holding.open),
+            "copies": len(self.holding.open_tickets),
             "holders": list(self.copies.ensemble) if self.copies else [],
             "open": len(self.ledger.live),
             "lost": len(self.ledger.lost),
             "held": self.facts.held,
             "commits": self.disk.commit_count,
             "mute": self._mute,
-            "few_copies": self.copies is not None and self.copies.few,
-            "to_compare": self.repairing.repair.waiting if self.repairing else 0,
+            "few_copies": self.copies is not None and self.copies.is_degraded,
+            "to_compare": self.repairing.scheduler.pending_count if self.repairing else 0,
             **self._agreed(),
         }
 
@@ -754,7 +756,7 @@
         raft, register = self.agreement.raft, self.agreement.register
         return {
             "leader": raft.leader,
-            "term": raft.hard.term,
+            "term": raft.hard_state.term,
             "register": {key: [cell.value, cell.version] for key, cell in register.items()},
         }
 
--- a/frostfall/net/copies.py
+++ b/frostfall/net/replication.py
@@ -9,10 +9,6 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from frostfall.copies.holding import Holding, Item
-from frostfall.copies.repair import Repair
-from frostfall.copies.rules import Copies as Rules
-from frostfall.copies.settling import settled
 from frostfall.membership.member_list import MemberList, MemberState
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection
@@ -24,11 +20,17 @@
     StatusReply,
 )
 from frostfall.recovery.ledger import Told, Word
+from frostfall.replication.anti_entropy import AntiEntropyScheduler
+from frostfall.replication.options import ReplicationOptions as Rules
+from frostfall.replication.quorum_read import resolve_outcome
+from frostfall.replication.replica_store import ReplicaStore, ReplicaUpdate
 from frostfall.storage.segment_codec import RecordState
 
-AGAIN = 0.05  # seconds between two tries to reach a holder
-AGAIN_MOST = 2.0  # the same for what nobody waits for: doubled up to this
-LEFT_BEHIND = 10_000  # items that wait for holders which are not reached; past that, further ones do not
+RETRY_INTERVAL = 0.05  # seconds between two tries to reach a holder
+MAX_RETRY_DELAY = 2.0  # the same for what nobody waits for: doubled up to this
+MAX_PENDING_DELIVERIES = (
+    10_000  # items that wait for holders which are not reached; past that, further ones do not
+)
 
 
 class _Said(NamedTuple):
@@ -50,7 +52,7 @@
         """Ask those that are missing, unless that was tried a moment ago."""
         # Danger: a member that is away answers at once that it is; asked again at once, that would spin.
         if self.missing and (now := anyio.current_time()) >= self._due:
-            again, self.missing, self._due = self.missing, [], now + AGAIN
+            again, self.missing, self._due = self.missing, [], now + RETRY_INTERVAL
             for name in again:
                 send(name)
 
@@ -62,39 +64,53 @@
 
     async def wait(self) -> None:
         """Wait for an answer, or for a moment."""
-        with anyio.move_on_after(AGAIN):
+        with anyio.move_on_after(RETRY_INTERVAL):
             await self._changed.wait()
         self._changed = anyio.Event()
 
 
-class Copies:
+class ReplicationDriver:
     """One agent's ensemble, and its part in those of others."""
 
     def __init__(
-        self, own: str, rules: Rules, repair: Repair, members: MemberList, disk: LogWriter, holding: Holding
+        self,
+        own: str,
+        options: Rules,
+        scheduler: AntiEntropyScheduler,
+        members: MemberList,
+        disk: LogWriter,
+        store: ReplicaStore,
     ) -> None:
         """`lines` and `group` are set before anything else is called."""
-        self._own, self._rules, self._repair, self._members, self._disk = own, rules, repair, members, disk
-        self.holding = holding
-        self.ensemble = repair.ensembles[own]
-        self.needed = min(rules.acknowledged, len(self.ensemble))
+        self._own, self._rules, self._repair, self._members, self._disk = (
+            own,
+            options,
+            scheduler,
+            members,
+            disk,
+        )
+        self.store = store
+        self.ensemble = scheduler.ensembles[own]
+        self.required_acknowledgements = min(options.acknowledged, len(self.ensemble))
         self.lines: dict[str, MemberConnection] = {}
-        self.group: TaskGroup | None = None
+        self.task_group: TaskGroup | None = None
         self._behind = 0
 
     @property
-    def heard(self) -> tuple[int, int]:
+    def holder_counts(self) -> tuple[int, int]:
         """How many holders are heard whose word counts, and how many a promise needs."""
         here = sum(
             self._members.peers[name].state is MemberState.ALIVE and self._sound(name)
             for name in self.ensemble
         )
-        return here, min(self.needed, here) if self._rules.few == "take" else self.needed
+        return here, min(
+            self.required_acknowledgements, here
+        ) if self._rules.few == "take" else self.required_acknowledgements
 
     @property
-    def few(self) -> bool:
+    def is_degraded(self) -> bool:
         """Whether promises are given with fewer copies than operators asked for."""
-        return self.heard[1] < self.needed
+        return self.holder_counts[1] < self.required_acknowledgements
 
     @property
     def _lines_here(self) -> list[str]:
@@ -107,7 +123,9 @@
 
     # ---- one's own record ---------------------------------------------------------------------------
 
-    async def promise(self, item: Item, over: Callable[[], bool], acknowledged: dict[str, str]) -> bool:
+    async def quorum_write(
+        self, update: ReplicaUpdate, expired: Callable[[], bool], acknowledged: dict[str, str]
+    ) -> bool:
         """Wait until enough holders have an item on disk; False where one refuses it, or it is `over`.
 
         `acknowledged` gets the holders that have, with the tokens of their lives.
@@ -121,13 +139,13 @@
                 refused[0] = True
             asking.came(name, isinstance(answer, ReplicateReply))
 
-        while not over():
-            asking.ask(lambda name: self._send(name, item, partial(told, name)))
+        while not expired():
+            asking.ask(lambda name: self._send(name, update, partial(told, name)))
             if refused[0]:
                 return False
-            if self.stands(acknowledged):
+            if self.has_write_quorum(acknowledged):
                 for name in asking.missing:
-                    self.tell(item, name)
+                    self.write_in_background(update, name)
                 return True
             # A word that does not count is asked for again, in that holder's present life.
             for name in [name for name, token in acknowledged.items() if not self._counts(name, token)]:
@@ -136,9 +154,9 @@
             await asking.wait()
         return False
 
-    def stands(self, acknowledged: dict[str, str]) -> bool:
+    def has_write_quorum(self, acknowledged: dict[str, str]) -> bool:
         """Whether so many holders still have what they acknowledged."""
-        return sum(self._counts(*each) for each in acknowledged.items()) >= self.heard[1]
+        return sum(self._counts(*each) for each in acknowledged.items()) >= self.holder_counts[1]
 
     def _counts(self, name: str, token: str) -> bool:
         # Danger: a holder that has lost its disk since, and with it its fences, would acknowledge what others
@@ -149,27 +167,32 @@
         peer = self._members.peers[name]
         return not (peer.incomplete_reason or peer.stale_reason or peer.latest_stale_reason)
 
-    def _send(self, name: str, item: Item, told: Callable[[MemberMessage | None], None]) -> None:
+    def _send(self, name: str, item: ReplicaUpdate, told: Callable[[MemberMessage | None], None]) -> None:
         if line := self.lines.get(name):
             line.request(
                 lambda number: ReplicateRequest(
-                    number, self._own, item.state, item.name, item.answer, self._members.incarnation_token
+                    number,
+                    self._own,
+                    item.state,
+                    item.operation,
+                    item.answer,
+                    self._members.incarnation_token,
                 ),
                 told,
             )
         else:
             told(None)
 
-    def tell(self, item: Item, *names: str) -> None:
+    def write_in_background(self, update: ReplicaUpdate, *names: str) -> None:
         """Let holders have an item, for which nobody waits; all of them without a name."""
         for name in names or self.ensemble:
-            if self._behind < LEFT_BEHIND and self.group:
+            if self._behind < MAX_PENDING_DELIVERIES and self.task_group:
                 self._behind += 1
-                self.group.start_soon(self._bring, name, item)
+                self.task_group.start_soon(self._bring, name, update)
 
-    async def _bring(self, name: str, item: Item) -> None:
+    async def _bring(self, name: str, item: ReplicaUpdate) -> None:
         """Bring an item to one holder, however long that takes."""
-        pause = AGAIN
+        pause = RETRY_INTERVAL
         try:
             while True:
                 answers: list[MemberMessage | None] = []
@@ -188,16 +211,16 @@
                 if isinstance(answers[0], ReplicateReply) and (answers[0].rejected or answers[0].stored):
                     return
                 await anyio.sleep(pause)
-                pause = min(pause * 2, AGAIN_MOST)
+                pause = min(pause * 2, MAX_RETRY_DELAY)
         finally:
             self._behind -= 1
 
     # ---- what is held for others ----------------------------------------------------------------------
 
-    async def keep(self, message: ReplicateRequest) -> MemberMessage:
+    async def handle_write(self, message: ReplicateRequest) -> MemberMessage:
         """Keep what another member sends, and say so once it is on disk."""
         item, token = (
-            Item(RecordState(message.state), message.operation, message.answer),
+            ReplicaUpdate(RecordState(message.state), message.operation, message.answer),
             self._members.incarnation_token,
         )
         peer = self._members.peers.get(message.owner)
@@ -205,53 +228,53 @@
             # Danger: a life that is over must not be told that its intent is kept: a later one may have been
             # told that this holder has nothing of it. No token: this word counts for nothing.
             return ReplicateReply(message.request_id, False, stored=False)
-        while (kept := self.holding.keep(message.owner, item)) is not None:
+        while (kept := self.store.store(message.owner, item)) is not None:
             self._disk.wake()
             if not await self._disk.wait_durable(kept.ticket):
                 await anyio.sleep_forever()  # a failed disk acknowledges nothing
-            if not kept.again:
+            if not kept.retry_after_sync:
                 # Danger: one that has not taken over all yet does not know what is fenced.
                 return ReplicateReply(
-                    message.request_id, False, token if self._repair.whole(message.owner) else ""
+                    message.request_id, False, token if self._repair.is_complete(message.owner) else ""
                 )
         return ReplicateReply(message.request_id, True, token)
 
-    async def told(
-        self, message: FencedRead, known: Callable[[], bool], lives: dict[str, str]
+    async def handle_read(
+        self, message: FencedRead, is_trusted: Callable[[], bool], lives: dict[str, str]
     ) -> MemberMessage:
         """What the copies say; `known`: whether the reader's word and one's own record can be trusted."""
-        told = self.holding.word(message.owner, message.operation)
+        told = self.store.read(message.owner, message.operation)
         if told.word is Word.NONE and message.fence:
-            ticket = self.holding.fence(message.owner, message.operation)
+            ticket = self.store.fence(message.owner, message.operation)
             self._disk.wake()
             if not await self._disk.wait_durable(ticket):
                 await anyio.sleep_forever()
-            self.holding.fenced(message.owner, message.operation)
-        word = Word.UNSURE if told.word is Word.NONE and not known() else told.word
+            self.store.fence_synced(message.owner, message.operation)
+        word = Word.UNSURE if told.word is Word.NONE and not is_trusted() else told.word
         return StatusReply(
             message.request_id, [(word.value, told.answer)], self._members.incarnation_token, lives
         )
 
     # ---- settling -------------------------------------------------------------------------------------
 
-    async def settle(
-        self, owner: str, name: str, fence: bool, within: float, known: Callable[[], bool]
+    async def fenced_read(
+        self, owner: str, name: str, fence: bool, timeout: float, is_trusted: Callable[[], bool]
     ) -> Told | None:
         """Read at an owner's holders what became of an operation, and fence it where they know nothing.
 
         None where too few holders that are sure of their records answer in time.
         """
         words: dict[str, _Said] = {}
-        read = self._rules.read(len(self._repair.ensembles[owner]))
-        with anyio.move_on_after(within):
+        read = self._rules.read_quorum(len(self._repair.ensembles[owner]))
+        with anyio.move_on_after(timeout):
             while True:
-                one = await self._gather(owner, name, fence, known, words)
+                one = await self._gather(owner, name, fence, is_trusted, words)
                 if one.word is not Word.NONE or not fence:
                     return one
                 # Danger: a holder that was read may have lost its disk before the next one was fenced, and be
                 # whole again without that fence. Who says it again in the same life had its fence at once.
                 again: dict[str, _Said] = {}
-                one = await self._gather(owner, name, fence, known, again)
+                one = await self._gather(owner, name, fence, is_trusted, again)
                 same = [
                     holder
                     for holder, said in again.items()
@@ -260,7 +283,7 @@
                 if one.word is not Word.NONE or len(same) >= read:
                     return one
                 words.clear()
-        last = settled((said.told for said in words.values()), read)
+        last = resolve_outcome((said.told for said in words.values()), read)
         return last if last is not None and last.word is not Word.NONE else None
 
     async def _gather(
@@ -297,12 +320,12 @@
                     self._members.incarnation_token,
                 )
 
-            if holder == self._own and self.group:
+            if holder == self._own and self.task_group:
 
                 async def own() -> None:
-                    told(holder, await self.told(make(0), known, {}))
+                    told(holder, await self.handle_read(make(0), known, {}))
 
-                self.group.start_soon(own)
+                self.task_group.start_soon(own)
             elif line := self.lines.get(holder):
                 line.request(make, partial(told, holder))
             else:
@@ -310,7 +333,9 @@
 
         while True:
             asking.ask(ask)
-            one = settled((said.told for said in words.values()), self._rules.read(len(ensemble)))
+            one = resolve_outcome(
+                (said.told for said in words.values()), self._rules.read_quorum(len(ensemble))
+            )
             # Danger: a holder that missed the end has the intent alone; another one may have the answer.
             if one is not None and (one.word is not Word.FAILED or len(words) == len(ensemble) + len(spares)):
                 return one
--- a/frostfall/recovery/rules.py
+++ b/frostfall/recovery/rules.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from frostfall.copies.rules import Copies
+from frostfall.replication.options import ReplicationOptions
 from frostfall.storage.options import StorageOptions
 
 _NAME = re.compile(r"[0-9A-Za-z_.:-]{1,64}\Z")
@@ -84,7 +84,7 @@
     new: bool = False  # the group is being set up: an empty folder is a first start, and no lost one
     retries_marked: bool = False  # operators' word that clients mark every try after an operation's first
     store: StorageOptions = StorageOptions()
-    copies: Copies | None = None  # without it, an agent's record is on its own disk alone
+    copies: ReplicationOptions | None = None  # without it, an agent's record is on its own disk alone
     agreement: bool = False  # whether members keep a register in common
     turns: Turns = Turns()
     waits: Waits = Waits()
--- a/frostfall/copies/rules.py
+++ b/frostfall/replication/options.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Copies(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ReplicationOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How many other members keep an agent's record, and how many of them a promise waits for."""
 
     kept: int = 3
@@ -25,7 +25,7 @@
             if not least <= getattr(self, key) <= 1e9:
                 raise ValueError(f"{key}: {getattr(self, key):g} is not from {least:g} to 1e9")
 
-    def read(self, holders: int) -> int:
+    def read_quorum(self, holders: int) -> int:
         """How many of so many holders a reader needs, so that no promise can have passed all of them by.
 
         More than there are where promises are also given with fewer copies: nothing proves absence then.
--- a/frostfall/copies/placement.py
+++ b/frostfall/replication/placement.py
@@ -10,18 +10,18 @@
 from hashlib import blake2b
 
 
-def weight(owner: str, member: str) -> int:
+def rendezvous_weight(owner: str, member: str) -> int:
     """How much a member is the owner's."""
     return int.from_bytes(blake2b(f"{owner}\0{member}".encode(), digest_size=8).digest(), "big")
 
 
-def holders(owner: str, zones: dict[str, str], kept: int) -> tuple[str, ...]:
+def replica_holders(owner: str, zones: dict[str, str], count: int) -> tuple[str, ...]:
     """The holders of an owner's record, best first; `zones` by member, all of them, the owner too."""
     others = (name for name in zones if name != owner)
-    order = sorted(others, key=lambda name: weight(owner, name), reverse=True)
+    order = sorted(others, key=lambda name: rendezvous_weight(owner, name), reverse=True)
     taken: list[str] = []
     used = {zones[owner]: 1}
-    while order and len(taken) < kept:
+    while order and len(taken) < count:
         best = min(order, key=lambda name: used.get(zones[name], 0))  # the first of them in the order
         order.remove(best)
         taken.append(best)
--- a/frostfall/copies/settling.py
+++ b/frostfall/replication/quorum_read.py
@@ -14,12 +14,12 @@
 from frostfall.recovery.ledger import Told, Word
 
 
-def settled(words: Iterable[Told], read: int) -> Told | None:
+def resolve_outcome(results: Iterable[Told], quorum: int) -> Told | None:
     """The one word of the holders that were read; None where too few that are sure were."""
-    sure = [told for told in words if told.word is not Word.UNSURE]
+    sure = [told for told in results if told.word is not Word.UNSURE]
     served = [told for told in sure if told.word is Word.SERVED]
     if served:
         return max(served, key=lambda told: told.answer is not None)
     if any(told.word is not Word.NONE for told in sure):
         return Told(Word.FAILED)
-    return Told(Word.NONE) if len(sure) >= read else None
+    return Told(Word.NONE) if len(sure) >= quorum else None
