--- a/frostfall/bench/power_loss.py
+++ b/frostfall/bench/power_loss.py
@@ -325,7 +325,7 @@
 from frostfall.storage.record_index import place_of
 from frostfall.storage.write_ahead_log import Journal, key_of
 from frostfall.storage.options import Store
-from frostfall.recovery.ledger import payload
+from frostfall.recovery.operation_log import payload
 folder, journal = Folder(Path(sys.argv[1])), Journal("n", Store())
 folder.sync = folder.sync_names = lambda: None
 def flush():
--- a/frostfall/cli.py
+++ b/frostfall/cli.py
@@ -262,7 +262,7 @@
         rules = config.operator(config.read(operator, "operator"), operator).group
         if rules is None:
             raise config.ConfigError(f"{operator}: group: there is no such section")
-        known = {member.name: config.address(member.address, "address") for member in rules.here}
+        known = {member.name: config.address(member.address, "address") for member in rules.active_members}
         for name in who:
             if name not in known:
                 raise config.ConfigError(f"{name}: no member of {', '.join(known)}")
--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -162,9 +162,9 @@
         told = msgspec.convert(raw, Options)
         if told.group is None:
             return told
-        from frostfall.recovery.rules import Section  # as above
+        from frostfall.recovery.options import GroupSection  # as above
 
-        group = msgspec.convert({"group": told.group}, Section).group
+        group = msgspec.convert({"group": told.group}, GroupSection).group
         return msgspec.structs.replace(told, group=group)
     except msgspec.ValidationError as error:
         line, key, what = _at(source, str(error))
@@ -193,7 +193,7 @@
             raise ConfigError(f"release_api.news: {state}")
         told = state
     name = raw.name or environment.get("BALANCER_NAME", "agent")
-    if options and options.group and name not in [member.name for member in options.group.here]:
+    if options and options.group and name not in [member.name for member in options.group.active_members]:
         raise ConfigError(f"group.members: {name!r}, this agent's name, is not among those that are not gone")
     level = environment.get("FROSTFALL_LOG", "info")
     if level not in log.LEVELS:
--- a/frostfall/membership/member_list.py
+++ b/frostfall/membership/member_list.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from frostfall.recovery.rules import Turns
+from frostfall.recovery.options import HeartbeatOptions
 
 
 class MemberState(Enum):
@@ -78,7 +78,7 @@
 class MemberList:
     """The group as one member sees it."""
 
-    def __init__(self, own_name: str, names: tuple[str, ...], options: Turns) -> None:
+    def __init__(self, own_name: str, names: tuple[str, ...], options: HeartbeatOptions) -> None:
         """Nobody has been heard yet."""
         self.own_name, self._rules = own_name, options
         self.peers = {name: Peer(Incarnation(), Incarnation()) for name in names if name != own_name}
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -35,7 +35,7 @@
 from frostfall.protocol.pg_server import failed, refused
 
 if TYPE_CHECKING:
-    from frostfall.net.recovery import Recovery
+    from frostfall.net.recovery import GroupMember
 
 SPARE_SOCKETS = 32  # descriptors: a dozen of our own, a crowd to be refused, and some that are closing
 LINGER = 0.7  # seconds after the order to stop in which new connections may still come, by the protocol
@@ -116,11 +116,11 @@
             else None
         )
         self._stopping = anyio.Event()
-        self._recovery: Recovery | None = None
+        self._recovery: GroupMember | None = None
         if config.options.group:
-            from frostfall.net.recovery import Recovery  # here, as only who has a group pays for it
+            from frostfall.net.recovery import GroupMember  # here, as only who has a group pays for it
 
-            self._recovery = Recovery(config, self, self.clock.now)
+            self._recovery = GroupMember(config, self, self.clock.now)
 
     # ---- events in, actions out --------------------------------------------------------------------
 
@@ -191,11 +191,11 @@
         if parsed.class_name not in self._classes:
             return "an unknown class"
         in_use = parsed.request in self._requests
-        if in_use and not (self._recovery and self._recovery.operations.knows(parsed)):
+        if in_use and not (self._recovery and self._recovery.operations.is_known(parsed)):
             return "an id that is in use"
         deadline = now + parsed.wait_ms * 1000
         client.request, client.side.class_name = parsed.request, parsed.class_name
-        if self._recovery and self._recovery.operations.take(parsed, client, deadline):
+        if self._recovery and self._recovery.operations.handle_query(parsed, client, deadline):
             return None
         self._requests[parsed.request] = _Request(parsed, client, deadline)
         self.post(
@@ -227,7 +227,7 @@
         if over := not request.out:
             del self._requests[name]
         if self._recovery:
-            self._recovery.operations.finish(name, answer, end, request.client, over)
+            self._recovery.operations.finish_request(name, answer, end, request.client, over)
         else:
             request.client.answer(answer)
 
@@ -235,7 +235,7 @@
         if (request := self._requests.get(name)) and request.done and not request.out:
             del self._requests[name]
             if self._recovery:
-                self._recovery.operations.closed(name)
+                self._recovery.operations.request_closed(name)
 
     def _send(self, action: api.SendAttempt) -> None:
         request = self._requests.get(action.request)
@@ -294,7 +294,9 @@
             return request.done or attempt.given_up
 
         try:
-            clear = await self._recovery.operations.clear(request.statement.request, over, deadline)
+            clear = await self._recovery.operations.authorize_dispatch(
+                request.statement.request, over, deadline
+            )
         except Exception:
             _log.exception("record failed")
             clear = False
@@ -320,7 +322,7 @@
         if isinstance(ending.answer, Row):
             self._finish(name, ending.answer.data + READY, Final.SERVED)
         if self._recovery:
-            self._recovery.operations.attempted(name, ending)
+            self._recovery.operations.attempt_ended(name, ending)
         elapsed = self.clock.now() - began
         try:
             load = entries.load(ending.load)
@@ -334,7 +336,7 @@
     # ---- what the other drivers tell ---------------------------------------------------------------
 
     def _told_news(self, event: api.RolloutState) -> None:
-        (self._recovery.news if self._recovery else self.post)(event)
+        (self._recovery.rollout_changed if self._recovery else self.post)(event)
 
     def _remembered(self, listing: Listing) -> None:
         if not self._told_list:
@@ -357,7 +359,7 @@
                     _log.warning("unusable address", why=str(error))
         self._appliances.keep_only(set(self._addresses.values()))
         if self._recovery:
-            self._recovery.listed(listing, kind is api.ServerListKind.CACHED)
+            self._recovery.endpoints_changed(listing, kind is api.ServerListKind.CACHED)
         self.post(event)
 
     def _list_failed(self) -> None:
@@ -415,10 +417,12 @@
             for action in self.engine.start(self.clock.now()):
                 self._carry_out(action)
             known = self._config.known
-            self._keep(self._recovery.near(known) if self._recovery else known, api.ServerListKind.CACHED)
+            self._keep(
+                self._recovery.usable_endpoints(known) if self._recovery else known, api.ServerListKind.CACHED
+            )
             if self._recovery:
                 if self._config.news:
-                    self._recovery.at_start(self._config.news)
+                    self._recovery.set_initial_rollout(self._config.news)
                 group.start_soon(self._recovery.run, self._remembered)
             elif self._config.news:
                 self.post(self._config.news)
--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -20,8 +20,14 @@
     DigestRequest,
     MemberMessage,
 )
-from frostfall.recovery.facts import Keeps
-from frostfall.recovery.ledger import Ledger, aged_in, answer_in, name_in, payload
+from frostfall.recovery.metadata import ReplicaAssignment
+from frostfall.recovery.operation_log import (
+    OperationLog,
+    decode_age,
+    decode_answer,
+    decode_name,
+    encode_payload,
+)
 from frostfall.replication.anti_entropy import MAX_RETRY_DELAY, AntiEntropyScheduler, SyncTask
 from frostfall.replication.digest_tree import (
     DIGEST_STATES,
@@ -64,7 +70,7 @@
         self,
         scheduler: AntiEntropyScheduler,
         disk: LogWriter,
-        ledger: Ledger,
+        ledger: OperationLog,
         store: ReplicaStore,
         members: MemberList,
         lines: dict[str, MemberConnection],
@@ -88,9 +94,9 @@
         self._rot: set[int] = set()  # segments that are to leave
         self._due = 0.0  # when all is compared next
 
-    def assignment(self) -> Keeps:
+    def assignment(self) -> ReplicaAssignment:
         """What to write down of whose records are whole here."""
-        return Keeps(self.scheduler.complete_owners, sorted(self.scheduler.zones))
+        return ReplicaAssignment(self.scheduler.complete_owners, sorted(self.scheduler.zones))
 
     # ---- what is on disk here -------------------------------------------------------------------------
 
@@ -129,7 +135,7 @@
             ):
                 continue
             text = bytes(data)
-            owner, name = split_replica_name(name_in(text))
+            owner, name = split_replica_name(decode_name(text))
             ended = RecordState(state) not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
             if ended and self._age(number, text) >= keep:
                 continue  # it is about to leave here, and must not live for ever by going round
@@ -141,7 +147,7 @@
 
     def _age(self, segment: int, data: bytes) -> float:
         """Seconds of running that a record there is old at most, also where it was brought."""
-        return self._disk.wal.max_record_age(segment, self._disk.elapsed_seconds) + aged_in(data)
+        return self._disk.wal.max_record_age(segment, self._disk.elapsed_seconds) + decode_age(data)
 
     def _spoilt(self, number: int, offset: int, why: str) -> None:
         lost = self._disk.wal.discard_unreadable(number, offset)
@@ -162,7 +168,9 @@
             record = self._disk.read_record(segment, offset)
             if record and journal.is_current(record[1], place):
                 text = record[2]
-                again = payload(name_in(text), answer_in(text), max(int(self._age(segment, text)), 1))
+                again = encode_payload(
+                    decode_name(text), decode_answer(text), max(int(self._age(segment, text)), 1)
+                )
                 ticket = journal.append(Record(state, record[1], again, place))
                 self._disk.wake()
                 if ticket % RECORDS_PER_SLICE == 0 and not await self._disk.wait_durable(ticket):
@@ -219,7 +227,7 @@
             return []  # it has moved since: the next round has it
         ended = state not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
         aged = int(self._age(segment, record[2])) if ended else 0
-        return [(state, split_replica_name(name_in(record[2]))[1], answer_in(record[2]), aged)]
+        return [(state, split_replica_name(decode_name(record[2]))[1], decode_answer(record[2]), aged)]
 
     # ---- rounds ----------------------------------------------------------------------------------------
 
@@ -343,7 +351,7 @@
                 await anyio.sleep(0)
             mark = DIGEST_STATES[RecordState(state)]
             if owner == self._disk.wal.owner:
-                new = self._ledger.restore(RecordState(state), name, given, aged)
+                new = self._ledger.restore_from_replica(RecordState(state), name, given, aged)
                 if new and mark is DigestState.MAY_HAVE_RUN:
                     maybe.append(name)
             else:
@@ -357,5 +365,5 @@
         if not await self._disk.wait_durable(ticket):
             raise SyncError("the disk has failed here")
         for name in maybe:
-            self._ledger.restored(name)
+            self._ledger.restore_durable(name)
         await anyio.sleep(size / self.scheduler.options.rate)
--- a/frostfall/net/consensus.py
+++ b/frostfall/net/consensus.py
@@ -23,7 +23,7 @@
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection
 from frostfall.protocol.member_messages import ConsensusMessage
-from frostfall.recovery.facts import Agreed, Fact, Ruled, Voted
+from frostfall.recovery.metadata import MetadataRecord, RaftEntry, RaftSnapshot, RaftVote
 
 TICK_INTERVAL = 0.05  # seconds: an election begins after half a second to a second without a leader
 
@@ -41,7 +41,7 @@
         name: str,
         voters: tuple[str, ...],
         disk: LogWriter,
-        write_fact: Callable[[Fact], int],
+        write_fact: Callable[[MetadataRecord], int],
         lines: dict[str, MemberConnection],
         seed: int,
     ) -> None:
@@ -57,26 +57,26 @@
 
     # ---- the past ------------------------------------------------------------------------------------
 
-    def restore(self, fact: Voted | Ruled | Agreed) -> None:
+    def restore(self, fact: RaftVote | RaftEntry | RaftSnapshot) -> None:
         """What was written down, in order."""
         match fact:
-            case Voted(term, vote):
+            case RaftVote(term, vote):
                 self._hard = HardState(term, vote)
-            case Ruled(index, raw):
+            case RaftEntry(index, raw):
                 self._entries = {at: entry for at, entry in self._entries.items() if at < index}
                 self._entries[index] = msgspec.convert(raw, Entry)
-            case Agreed(raw):
+            case RaftSnapshot(raw):
                 self._snapshot = msgspec.convert(raw, Snapshot)
                 self._entries = {
                     at: entry for at, entry in self._entries.items() if at > self._snapshot.index
                 }
 
-    def stored_state(self) -> Iterable[Fact]:
+    def stored_state(self) -> Iterable[MetadataRecord]:
         """What a new segment of the record begins with."""
-        yield Agreed(msgspec.to_builtins(self._snapshot))
-        yield Voted(self._hard.term, self._hard.voted_for)
+        yield RaftSnapshot(msgspec.to_builtins(self._snapshot))
+        yield RaftVote(self._hard.term, self._hard.voted_for)
         for index in sorted(self._entries):
-            yield Ruled(index, msgspec.to_builtins(self._entries[index]))
+            yield RaftEntry(index, msgspec.to_builtins(self._entries[index]))
 
     # ---- life ----------------------------------------------------------------------------------------
 
@@ -119,13 +119,13 @@
         """Carry out what is ready, in order; False where the disk has failed."""
         out, ticket = raft.ready(), 0
         if out.snapshot is not None:
-            self.restore(agreed := Agreed(msgspec.to_builtins(out.snapshot)))
+            self.restore(agreed := RaftSnapshot(msgspec.to_builtins(out.snapshot)))
             ticket = self._note(agreed)
         if out.hard_state is not None:
-            self.restore(voted := Voted(out.hard_state.term, out.hard_state.voted_for))
+            self.restore(voted := RaftVote(out.hard_state.term, out.hard_state.voted_for))
             ticket = self._note(voted)
         for index, entry in out.entries:
-            self.restore(ruled := Ruled(index, msgspec.to_builtins(entry)))
+            self.restore(ruled := RaftEntry(index, msgspec.to_builtins(entry)))
             ticket = self._note(ruled)
         if ticket and not await self._disk.wait_durable(ticket):
             return False
@@ -140,7 +140,7 @@
         if not raft.is_leader:
             self._give_up()
         if (snapshot := raft.compact(self.register.state())) is not None:
-            self.restore(agreed := Agreed(msgspec.to_builtins(snapshot)))
+            self.restore(agreed := RaftSnapshot(msgspec.to_builtins(snapshot)))
             self._note(agreed)
         if raft.leader != self._leader:
             self._leader = raft.leader
--- a/frostfall/net/replication.py
+++ b/frostfall/net/replication.py
@@ -19,7 +19,7 @@
     ReplicateRequest,
     StatusReply,
 )
-from frostfall.recovery.ledger import Told, Word
+from frostfall.recovery.operation_log import OperationResult, OperationStatus
 from frostfall.replication.anti_entropy import AntiEntropyScheduler
 from frostfall.replication.options import ReplicationOptions as Rules
 from frostfall.replication.quorum_read import resolve_outcome
@@ -36,7 +36,7 @@
 class _Said(NamedTuple):
     """A holder's word, and the token of the life in which it gave it."""
 
-    told: Told
+    told: OperationResult
     token: str
 
 
@@ -244,13 +244,17 @@
     ) -> MemberMessage:
         """What the copies say; `known`: whether the reader's word and one's own record can be trusted."""
         told = self.store.read(message.owner, message.operation)
-        if told.word is Word.NONE and message.fence:
+        if told.status is OperationStatus.ABSENT and message.fence:
             ticket = self.store.fence(message.owner, message.operation)
             self._disk.wake()
             if not await self._disk.wait_durable(ticket):
                 await anyio.sleep_forever()
             self.store.fence_synced(message.owner, message.operation)
-        word = Word.UNSURE if told.word is Word.NONE and not is_trusted() else told.word
+        word = (
+            OperationStatus.INDETERMINATE
+            if told.status is OperationStatus.ABSENT and not is_trusted()
+            else told.status
+        )
         return StatusReply(
             message.request_id, [(word.value, told.answer)], self._members.incarnation_token, lives
         )
@@ -259,7 +263,7 @@
 
     async def fenced_read(
         self, owner: str, name: str, fence: bool, timeout: float, is_trusted: Callable[[], bool]
-    ) -> Told | None:
+    ) -> OperationResult | None:
         """Read at an owner's holders what became of an operation, and fence it where they know nothing.
 
         None where too few holders that are sure of their records answer in time.
@@ -269,7 +273,7 @@
         with anyio.move_on_after(timeout):
             while True:
                 one = await self._gather(owner, name, fence, is_trusted, words)
-                if one.word is not Word.NONE or not fence:
+                if one.status is not OperationStatus.ABSENT or not fence:
                     return one
                 # Danger: a holder that was read may have lost its disk before the next one was fenced, and be
                 # whole again without that fence. Who says it again in the same life had its fence at once.
@@ -278,17 +282,17 @@
                 same = [
                     holder
                     for holder, said in again.items()
-                    if words.get(holder) == said and said.told.word is Word.NONE
+                    if words.get(holder) == said and said.told.status is OperationStatus.ABSENT
                 ]
-                if one.word is not Word.NONE or len(same) >= read:
+                if one.status is not OperationStatus.ABSENT or len(same) >= read:
                     return one
                 words.clear()
         last = resolve_outcome((said.told for said in words.values()), read)
-        return last if last is not None and last.word is not Word.NONE else None
+        return last if last is not None and last.status is not OperationStatus.ABSENT else None
 
     async def _gather(
         self, owner: str, name: str, fence: bool, known: Callable[[], bool], words: dict[str, _Said]
-    ) -> Told:
+    ) -> OperationResult:
         """Ask all holders, until their words settle it; for ever where too few that are sure answer."""
         ensemble = self._repair.ensembles[owner]
         spares = [name for name in self._lines_here if name not in (owner, *ensemble)]
@@ -301,11 +305,12 @@
                     holder == self._own
                     or self._members.peers[holder].recorded_incarnation.token == answer.incarnation_token
                 )
-                sure = trusted or word in (Word.SERVED.value, Word.FAILED.value)
+                sure = trusted or word in (OperationStatus.SERVED.value, OperationStatus.FAILED.value)
                 # Danger: a spare holds what it was given; that it lacks something proves nothing.
-                sure = sure and (holder in ensemble or word != Word.NONE.value)
+                sure = sure and (holder in ensemble or word != OperationStatus.ABSENT.value)
                 words[holder] = _Said(
-                    Told(Word(word) if sure else Word.UNSURE, given), answer.incarnation_token
+                    OperationResult(OperationStatus(word) if sure else OperationStatus.INDETERMINATE, given),
+                    answer.incarnation_token,
                 )
             asking.came(holder, isinstance(answer, StatusReply))
 
@@ -337,6 +342,8 @@
                 (said.told for said in words.values()), self._rules.read_quorum(len(ensemble))
             )
             # Danger: a holder that missed the end has the intent alone; another one may have the answer.
-            if one is not None and (one.word is not Word.FAILED or len(words) == len(ensemble) + len(spares)):
+            if one is not None and (
+                one.status is not OperationStatus.FAILED or len(words) == len(ensemble) + len(spares)
+            ):
                 return one
             await asking.wait()
--- a/frostfall/recovery/rules.py
+++ b/frostfall/recovery/options.py
@@ -13,7 +13,7 @@
 
 _NAME = re.compile(r"[0-9A-Za-z_.:-]{1,64}\Z")
 _FIELD = re.compile(r"[A-Za-z_][\w.-]{0,31}\Z", re.ASCII)
-KEY_LEAST = 16  # characters
+MIN_KEY_CHARACTERS = 16  # characters
 
 
 def _address(text: str, key: str) -> None:
@@ -27,7 +27,7 @@
         raise ValueError(f"{key}: {text!r} is no IP address and port")
 
 
-class Member(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MemberOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One agent of the group; `zone` and `region` as operators name them."""
 
     name: str
@@ -43,7 +43,7 @@
         _address(self.address, "address")
 
 
-class Waits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StartupTimeouts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Seconds after which a start goes on without what it waits for; safety rests on none of them."""
 
     list: float = 5.0  # for discovery's list; then the remembered one serves
@@ -58,7 +58,7 @@
                 raise ValueError(f"{name}: {getattr(self, name):g} is not above 0")
 
 
-class Turns(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class HeartbeatOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How members watch each other."""
 
     every: float = 0.2  # seconds between two words to each member
@@ -73,12 +73,12 @@
             raise ValueError(f"suspect: {self.suspect} is not from 1 to below gone, {self.gone}")
 
 
-class Group(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class GroupOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The whole section; without it an agent keeps nothing and knows no group."""
 
     data: str  # the folder that outlives a power loss
     key: str  # shared by all members
-    members: tuple[Member, ...]
+    members: tuple[MemberOptions, ...]
     listen: str = ""  # where members reach this agent, if not at its own entry's address
     operation: str = ""  # the comment's field that names an operation; "": the statement's id
     new: bool = False  # the group is being set up: an empty folder is a first start, and no lost one
@@ -86,15 +86,15 @@
     store: StorageOptions = StorageOptions()
     copies: ReplicationOptions | None = None  # without it, an agent's record is on its own disk alone
     agreement: bool = False  # whether members keep a register in common
-    turns: Turns = Turns()
-    waits: Waits = Waits()
+    turns: HeartbeatOptions = HeartbeatOptions()
+    waits: StartupTimeouts = StartupTimeouts()
 
     def __post_init__(self) -> None:
         """Check that the figures go together."""
         if not self.data:
             raise ValueError("data: no folder is named")
-        if len(self.key) < KEY_LEAST:
-            raise ValueError(f"key: {len(self.key)} characters are too few, {KEY_LEAST} are needed")
+        if len(self.key) < MIN_KEY_CHARACTERS:
+            raise ValueError(f"key: {len(self.key)} characters are too few, {MIN_KEY_CHARACTERS} are needed")
         if not self.members:
             raise ValueError("members: there are none")
         names = [member.name for member in self.members]
@@ -107,23 +107,23 @@
                 raise ValueError(f"members: address {each} stands twice")
         if self.listen:
             _address(self.listen, "listen")
-        if not self.here:
+        if not self.active_members:
             raise ValueError("members: all of them are gone")
-        if self.copies and len(self.here) <= self.copies.acknowledged:
+        if self.copies and len(self.active_members) <= self.copies.acknowledged:
             raise ValueError(
                 f"copies: {self.copies.acknowledged} other members are to acknowledge, "
-                f"and there are {len(self.here) - 1}"
+                f"and there are {len(self.active_members) - 1}"
             )
         if self.operation and not _FIELD.match(self.operation):
             raise ValueError(f"operation: {self.operation!r} is no name of a comment's field")
 
     @property
-    def here(self) -> tuple[Member, ...]:
+    def active_members(self) -> tuple[MemberOptions, ...]:
         """The members that are not gone for good."""
         return tuple(member for member in self.members if not member.gone)
 
 
-class Section(msgspec.Struct, frozen=True):
+class GroupSection(msgspec.Struct, frozen=True):
     """The section under its name, so that faults name the whole way to a key."""
 
-    group: Group
+    group: GroupOptions
--- a/frostfall/recovery/spread.py
+++ b/frostfall/recovery/retry_after.py
@@ -9,11 +9,11 @@
 import random
 from collections import deque
 
-LEAST, MOST = 0.3, 5.0  # seconds: the width of the spread, and the soonest half of it
-COUNTED = 1.0  # seconds over which refusals are counted
+MIN_SPREAD, MAX_SPREAD = 0.3, 5.0  # seconds: the width of the spread, and the soonest half of it
+COUNTING_WINDOW = 1.0  # seconds over which refusals are counted
 
 
-class Spread:
+class RetryAfterJitter:
     """Hands out times to come again."""
 
     def __init__(self, rate: float, seed: int) -> None:
@@ -21,11 +21,11 @@
         self._rate, self._random = rate, random.Random(seed)
         self._given: deque[float] = deque()
 
-    def next(self, now: float) -> float:
+    def next_delay(self, now: float) -> float:
         """Seconds after which one more that is refused at `now` (seconds, never less than before) comes."""
         given = self._given
         given.append(now)
-        while given[0] < now - COUNTED:
+        while given[0] < now - COUNTING_WINDOW:
             given.popleft()
-        width = min(max(LEAST * len(given) / self._rate, LEAST), MOST)
+        width = min(max(MIN_SPREAD * len(given) / self._rate, MIN_SPREAD), MAX_SPREAD)
         return width * self._random.uniform(0.5, 1.5)
--- a/frostfall/replication/quorum_read.py
+++ b/frostfall/replication/quorum_read.py
@@ -11,15 +11,15 @@
 
 from collections.abc import Iterable
 
-from frostfall.recovery.ledger import Told, Word
+from frostfall.recovery.operation_log import OperationResult, OperationStatus
 
 
-def resolve_outcome(results: Iterable[Told], quorum: int) -> Told | None:
+def resolve_outcome(results: Iterable[OperationResult], quorum: int) -> OperationResult | None:
     """The one word of the holders that were read; None where too few that are sure were."""
-    sure = [told for told in results if told.word is not Word.UNSURE]
-    served = [told for told in sure if told.word is Word.SERVED]
+    sure = [told for told in results if told.status is not OperationStatus.INDETERMINATE]
+    served = [told for told in sure if told.status is OperationStatus.SERVED]
     if served:
         return max(served, key=lambda told: told.answer is not None)
-    if any(told.word is not Word.NONE for told in sure):
-        return Told(Word.FAILED)
-    return Told(Word.NONE) if len(sure) >= quorum else None
+    if any(told.status is not OperationStatus.ABSENT for told in sure):
+        return OperationResult(OperationStatus.FAILED)
+    return OperationResult(OperationStatus.ABSENT) if len(sure) >= quorum else None
--- a/frostfall/replication/replica_store.py
+++ b/frostfall/replication/replica_store.py
@@ -10,7 +10,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from frostfall.recovery.ledger import Look, Told, Word, answer_in, name_in, payload
+from frostfall.recovery.operation_log import (
+    FindRecord,
+    OperationResult,
+    OperationStatus,
+    decode_answer,
+    decode_name,
+    encode_payload,
+)
 from frostfall.storage.segment_codec import Record, RecordState
 from frostfall.storage.write_ahead_log import WriteAheadLog, operation_key
 
@@ -67,7 +74,7 @@
 class ReplicaStore:
     """One member's copies."""
 
-    def __init__(self, journal: WriteAheadLog, find_record: Look) -> None:
+    def __init__(self, journal: WriteAheadLog, find_record: FindRecord) -> None:
         """In this member's own log."""
         self._journal, self._look = journal, find_record
         self.open_tickets: dict[str, int] = {}  # copies of operations without an end, with their tickets
@@ -83,7 +90,7 @@
                 return ReplicaWrite(self.open_tickets[name])
             if self._find(name) is not None:
                 return None  # fenced, or it has ended: it is not begun any more
-            record = Record(RecordState.OPEN, operation_key(name), payload(name))
+            record = Record(RecordState.OPEN, operation_key(name), encode_payload(name))
             self.open_tickets[name] = self._journal.append(record)
             return ReplicaWrite(self.open_tickets[name])
         if self.open_tickets.get(name, 0) > self._journal.durable_ticket:
@@ -97,7 +104,7 @@
             found is not None and found[0] in (update.state, RecordState.SERVED)
         ):
             return ReplicaWrite(0)
-        data = payload(name, update.answer if update.state is RecordState.SERVED else b"")
+        data = encode_payload(name, update.answer if update.state is RecordState.SERVED else b"")
         return ReplicaWrite(
             self._journal.append(Record(update.state, operation_key(name), data, found[2] if found else 0))
         )
@@ -119,7 +126,7 @@
         if told is None:
             return 0
         self.open_tickets.pop(full, None)
-        kept = payload(
+        kept = encode_payload(
             full, answer if told is RecordState.SERVED else b"", 0 if told is RecordState.OPEN else age
         )
         ticket = self._journal.append(Record(told, operation_key(full), kept, found[2] if found else 0))
@@ -128,17 +135,21 @@
         return ticket
 
     def _find(self, name: str) -> tuple[RecordState, bytes, int] | None:
-        return self._look(operation_key(name), lambda data: name_in(data) == name)
+        return self._look(operation_key(name), lambda data: decode_name(data) == name)
 
-    def read(self, owner: str, name: str) -> Told:
+    def read(self, owner: str, name: str) -> OperationResult:
         """What the copies say of an owner's operation: an open one may have run."""
         full = replica_name(owner, name)
         if full in self.open_tickets:
-            return Told(Word.FAILED)
+            return OperationResult(OperationStatus.FAILED)
         found = self._find(full)
         if found is None or found[0] is RecordState.FENCED:
-            return Told(Word.NONE)
-        return Told(Word.SERVED, answer_in(found[1])) if found[0] is RecordState.SERVED else Told(Word.FAILED)
+            return OperationResult(OperationStatus.ABSENT)
+        return (
+            OperationResult(OperationStatus.SERVED, decode_answer(found[1]))
+            if found[0] is RecordState.SERVED
+            else OperationResult(OperationStatus.FAILED)
+        )
 
     def fence(self, owner: str, name: str) -> int:
         """Let an operation that is unknown here never be begun by its owner; the ticket to wait for."""
@@ -148,7 +159,7 @@
         if full in self.open_tickets or self._find(full) is not None:
             return 0
         self._fencing[full] = self._journal.append(
-            Record(RecordState.FENCED, operation_key(full), payload(full))
+            Record(RecordState.FENCED, operation_key(full), encode_payload(full))
         )
         return self._fencing[full]
 
@@ -160,4 +171,4 @@
         """Open copies that are on disk: a new segment of the log begins with them."""
         for name, ticket in self.open_tickets.items():
             if ticket <= self._journal.durable_ticket and (found := self._find(name)):
-                yield Record(RecordState.OPEN, operation_key(name), payload(name), found[2])
+                yield Record(RecordState.OPEN, operation_key(name), encode_payload(name), found[2])
