--- a/frostfall/bench/actors.py
+++ b/frostfall/bench/actors.py
@@ -18,7 +18,7 @@
 
 from frostfall.bench import peers
 from frostfall.config import Address
-from frostfall.net.streams import ENDED
+from frostfall.net.streams import STREAM_ERRORS
 
 
 def say(**fields: Any) -> None:
@@ -64,7 +64,7 @@
         client = free.pop() if free else await peers.UsualClient.open(Address(host, int(port)))
         try:
             answer, value = await client.ask(peers.statement(name, kind))
-        except ENDED:
+        except STREAM_ERRORS:
             answers["crossed"] += 1
             client = await peers.UsualClient.open(Address(host, int(port)))
             answer, value = await client.ask(peers.statement(name, kind))
--- a/frostfall/bench/actors_fleet.py
+++ b/frostfall/bench/actors_fleet.py
@@ -20,7 +20,7 @@
 
 from frostfall.bench import peers
 from frostfall.config import Address
-from frostfall.net.streams import ENDED, Stream
+from frostfall.net.streams import STREAM_ERRORS, Stream
 from frostfall.protocol import pg
 
 _OPERATION = re.compile(rb"op=([0-9A-Za-z-]+)")
@@ -59,7 +59,7 @@
         self._arrived.clear()
         self._free_at, self._held = 0.0, 0
         for stream in list(self._open):
-            stream.abandon()
+            stream.reset_on_close()
             stream.close()
 
     async def serve(self, stream: Stream) -> None:
@@ -279,12 +279,12 @@
             with anyio.move_on_after(wait_ms / 1000 + 0.5):
                 while free[agent] and client is None:
                     client = free[agent].pop()
-                    if not client.stream.quiet:  # its end has come meanwhile
+                    if not client.stream.is_quiet:  # its end has come meanwhile
                         client.stream.close()
                         client = None
                 client = client or await peers.UsualClient.open(_address(agent))
                 kind, payload = await client.ask(text)
-        except (OSError, *ENDED):
+        except (OSError, *STREAM_ERRORS):
             pass
         if client:
             if kind:
--- a/frostfall/bench/relay.py
+++ b/frostfall/bench/relay.py
@@ -16,7 +16,7 @@
 
 from frostfall.bench.peers import listening
 from frostfall.config import Address
-from frostfall.net.streams import ENDED, Stream, connect
+from frostfall.net.streams import STREAM_ERRORS, Stream, connect
 
 FORTH, BACK = "forth", "back"
 
@@ -49,7 +49,7 @@
         self.reset_after = told.get("reset_after", self.reset_after)
         if told.get("reset"):
             for stream in list(self._open):
-                stream.abandon()
+                stream.reset_on_close()
                 stream.close()
 
     async def serve(self, near: Stream) -> None:
@@ -65,7 +65,7 @@
                 group.start_soon(self._pump, near, far, FORTH, group.cancel_scope)
                 group.start_soon(self._pump, far, near, BACK, group.cancel_scope)
         except OSError:
-            near.abandon()
+            near.reset_on_close()
         finally:
             for stream in (near, far):
                 if stream:
@@ -85,12 +85,12 @@
                 if way == FORTH and self.reset_after is not None and passed + len(data) >= self.reset_after:
                     await sink.send(data[: max(self.reset_after - passed, 0)])
                     self.reset_after = None
-                    source.abandon()
-                    sink.abandon()
+                    source.reset_on_close()
+                    sink.reset_on_close()
                     break
                 passed += len(data)
                 await sink.send(data)
-        except (*ENDED, OSError, ValueError):
+        except (*STREAM_ERRORS, OSError, ValueError):
             pass
         scope.cancel()
 
--- a/frostfall/cli.py
+++ b/frostfall/cli.py
@@ -287,7 +287,7 @@
     import anyio
 
     from frostfall.net import member_transport as link
-    from frostfall.net.streams import ENDED
+    from frostfall.net.streams import STREAM_ERRORS
     from frostfall.protocol.member_messages import MemberProtocolError
 
     shared, members = _members(operator, ())
@@ -295,7 +295,7 @@
     for name, address in members:
         try:
             fields = anyio.run(link.send_operator_command, address, shared, "put", by, key, value).fields
-        except (OSError, MemberProtocolError, *ENDED) as error:
+        except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
             why = f"{name}: not reached: {error or type(error).__name__}"
             continue
         if fields.get("put"):
@@ -312,7 +312,7 @@
     import msgspec
 
     from frostfall.net import member_transport as link
-    from frostfall.net.streams import ENDED
+    from frostfall.net.streams import STREAM_ERRORS
     from frostfall.protocol.member_messages import MemberProtocolError
 
     key, members = _members(operator, who)
@@ -320,7 +320,7 @@
     for name, address in members:
         try:
             fields = anyio.run(link.send_operator_command, address, key, what, by).fields
-        except (OSError, MemberProtocolError, *ENDED) as error:
+        except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
             missing += 1
             click.echo(f"{name}: not reached: {error or type(error).__name__}", err=True)
             continue
--- a/frostfall/log.py
+++ b/frostfall/log.py
@@ -27,11 +27,11 @@
     )
 
 
-def named(name: str) -> AbstractContextManager[None]:
+def bind_agent_name(name: str) -> AbstractContextManager[None]:
     """Let every line name this agent, from here and from the tasks that start here."""
     return structlog.contextvars.bound_contextvars(agent=name)
 
 
-def get(part: str) -> Any:
+def get_logger(part: str) -> Any:
     """The log of one part of the program."""
     return structlog.get_logger(part=part)
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -18,14 +18,14 @@
 from frostfall import log
 from frostfall.config import Address, Config, ConfigError, address
 from frostfall.limits.slow_peer_detector import SlowPeerDetector
-from frostfall.net.appliances import Appliances, Attempt
-from frostfall.net.clients import Client, Clients, listen
-from frostfall.net.clock import Clock, Timers
-from frostfall.net.discovery import Discovery
-from frostfall.net.peers import Peers
-from frostfall.net.platform import Platform
-from frostfall.net.streams import Sockets
-from frostfall.net.watchdog import Watchdog
+from frostfall.net.client_connections import ClientConnection, ClientConnections, open_listener
+from frostfall.net.clock import Clock, TimerQueue
+from frostfall.net.connection_monitor import ConnectionMonitor
+from frostfall.net.discovery import DiscoveryClient
+from frostfall.net.gossip_transport import GossipTransport
+from frostfall.net.rollout_client import RolloutClient
+from frostfall.net.streams import SocketBudget
+from frostfall.net.upstream_pool import UpstreamAttempt, UpstreamPool
 from frostfall.policy.engine import PolicyEngine
 from frostfall.protocol import entries, statement
 from frostfall.protocol.ending import Ending, Final, Progress
@@ -37,15 +37,19 @@
 if TYPE_CHECKING:
     from frostfall.net.recovery import GroupMember
 
-SPARE_SOCKETS = 32  # descriptors: a dozen of our own, a crowd to be refused, and some that are closing
-LINGER = 0.7  # seconds after the order to stop in which new connections may still come, by the protocol
-CLIENTS_PART = 2  # of the descriptors: clients hold a third of all for requests, and some say nothing
-UNREAD_PART = 8  # of the memory: what all clients together may have sent that is not read out yet
-GARBAGE_EVERY = 10_000  # containers more than have gone: some hundred requests under way hold fewer
-NEEDS_RESTART = ("name", "listen", "limits", "peer_listen", "peers", "peers_all", "settings", "log_level")
-HEALTH_EVERY = 5.0  # seconds between log lines on the agent's own health
+RESERVED_SOCKETS = 32  # descriptors: a dozen of our own, a crowd to be refused, and some that are closing
+DRAIN_LINGER_SECONDS = (
+    0.7  # seconds after the order to stop in which new connections may still come, by the protocol
+)
+CLIENT_SOCKET_DIVISOR = (
+    2  # of the descriptors: clients hold a third of all for requests, and some say nothing
+)
+UNREAD_MEMORY_DIVISOR = 8  # of the memory: what all clients together may have sent that is not read out yet
+GC_THRESHOLD = 10_000  # containers more than have gone: some hundred requests under way hold fewer
+RESTART_ONLY_KEYS = ("name", "listen", "limits", "peer_listen", "peers", "peers_all", "settings", "log_level")
+HEALTH_LOG_INTERVAL_SECONDS = 5.0  # seconds between log lines on the agent's own health
 
-_log = log.get("agent")
+_log = log.get_logger("agent")
 
 
 @dataclass(slots=True)
@@ -53,9 +57,9 @@
     """A request taken, until it is answered and all its attempts have ended."""
 
     statement: statement.Statement
-    client: Client
+    client: ClientConnection
     deadline: int
-    attempts: list[Attempt] = field(default_factory=list)
+    attempts: list[UpstreamAttempt] = field(default_factory=list)
     out: int = 0
     done: bool = False
 
@@ -68,7 +72,7 @@
         self._config = config
         self.clock = clock or Clock()
         self.engine = PolicyEngine(config.settings, config.seed)
-        self._timers = Timers(self.clock)
+        self._timers = TimerQueue(self.clock)
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._requests: dict[str, _Request] = {}
@@ -76,42 +80,42 @@
         self._addresses: dict[int, Address] = {}
         self._told_list = False  # by discovery
         self._group: TaskGroup | None = None
-        sockets = Sockets(config.limits.sockets - SPARE_SOCKETS)
-        self._guard: SlowPeerDetector[Client] = SlowPeerDetector(config.options.slow_peers)
-        self._watchdog = Watchdog()
+        sockets = SocketBudget(config.limits.sockets - RESERVED_SOCKETS)
+        self._guard: SlowPeerDetector[ClientConnection] = SlowPeerDetector(config.options.slow_peers)
+        self._watchdog = ConnectionMonitor()
         self.engine.ejections.options = self._guard.options.servers.apart
-        self._appliances = Appliances(
+        self._appliances = UpstreamPool(
             self.clock, config.settings.limits, sockets, self._guard, self._watchdog
         )
         self._longest = (
             max(kind.deadline for kind in config.settings.classes) + config.settings.rules.answer_slack
         ) / 1e6
-        self._clients = Clients(
+        self._clients = ClientConnections(
             self,
             sockets,
-            sockets.most // CLIENTS_PART,
-            config.limits.memory_mb * 1024 * 1024 // UNREAD_PART,
+            sockets.limit // CLIENT_SOCKET_DIVISOR,
+            config.limits.memory_mb * 1024 * 1024 // UNREAD_MEMORY_DIVISOR,
             self._longest,
-            self._appliances.evict,
+            self._appliances.evict_idle,
             self._guard,
             self._watchdog,
         )
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery,
             config.known.generation,
             config.settings.rules.watch_renewal_period,
             self._listed,
             self._list_failed,
-            unasked=not config.settings.needs_watch,
+            auto_restart=not config.settings.needs_watch,
         )
         rollout = config.settings.rollout
         self._platform = (
-            Platform(config.platform, rollout.vote_timeout, self._told_news)
+            RolloutClient(config.platform, rollout.vote_timeout, self._told_news)
             if config.platform and rollout
             else None
         )
         self._peers = (
-            Peers(config.peer_listen, config.peers, config.peers_all, self._heard)
+            GossipTransport(config.peer_listen, config.peers, config.peers_all, self._heard)
             if config.peer_listen and config.settings.limits.gossip
             else None
         )
@@ -159,21 +163,21 @@
                 self._send(action)
             case api.CancelAttempt(request, attempt):
                 if (known := self._requests.get(request)) and attempt < len(known.attempts):
-                    known.attempts[attempt].give_up()
+                    known.attempts[attempt].cancel()
             case api.RejectRequest(request, retry_after):
                 self._finish(request, refused(retry_after // 1000), Final.REFUSED)
             case api.FailRequest(request):
                 self._finish(request, failed(), Final.FAILED)
             case api.SetTimer(delay, token):
-                self._timers.set(delay, token)
+                self._timers.schedule(delay, token)
             case api.SendGossip(peer, text):
                 if self._peers:
-                    self._peers.tell(peer, text)
+                    self._peers.send(peer, text)
             case api.WatchServerList():
-                self._discovery.ask()
+                self._discovery.start_watch()
             case api.CastVote():
                 if self._platform:
-                    self._platform.cast(action)
+                    self._platform.cast_vote(action)
             case api.WriteLog(text):
                 _log.info(text)
             case api.CheckServerHealth(server):
@@ -182,7 +186,7 @@
 
     # ---- requests ----------------------------------------------------------------------------------
 
-    def take(self, client: Client, text: bytes) -> str | None:
+    def handle_query(self, client: ClientConnection, text: bytes) -> str | None:
         """Take a client's query, or say why it is malformed."""
         now = self.clock.now()
         parsed = statement.parse(text)
@@ -194,7 +198,7 @@
         if in_use and not (self._recovery and self._recovery.operations.is_known(parsed)):
             return "an id that is in use"
         deadline = now + parsed.wait_ms * 1000
-        client.request, client.side.class_name = parsed.request, parsed.class_name
+        client.request, client.progress.class_name = parsed.request, parsed.class_name
         if self._recovery and self._recovery.operations.handle_query(parsed, client, deadline):
             return None
         self._requests[parsed.request] = _Request(parsed, client, deadline)
@@ -205,7 +209,7 @@
         )
         return None
 
-    def client_left(self, client: Client) -> None:
+    def client_disconnected(self, client: ClientConnection) -> None:
         """A client's connection has ended; where it waited for an answer, none is owed any more."""
         name, client.request = client.request, None
         if name is not None and (request := self._requests.get(name)):
@@ -248,7 +252,7 @@
         def slowed() -> None:  # told before the attempt's end, so that no further one goes there
             self.post(api.ServerDegraded(action.server))
 
-        attempt = Attempt(request.statement.class_name, slowed)
+        attempt = UpstreamAttempt(request.statement.class_name, slowed)
         deadline = min(began + action.timeout, request.deadline) if action.timeout else request.deadline
         request.attempts.append(attempt)
         target = self._addresses.get(action.server)
@@ -276,12 +280,12 @@
         if self._recovery:
             self._group.start_soon(self._when_clear, request, attempt, target, write, deadline, done)
         else:
-            self._group.start_soon(self._appliances.attempt, attempt, target, write, deadline, done)
+            self._group.start_soon(self._appliances.run_attempt, attempt, target, write, deadline, done)
 
     async def _when_clear(
         self,
         request: _Request,
-        attempt: Attempt,
+        attempt: UpstreamAttempt,
         target: Address,
         write: Callable[[], bytes | None],
         deadline: int,
@@ -291,7 +295,7 @@
         assert self._recovery
 
         def over() -> bool:
-            return request.done or attempt.given_up
+            return request.done or attempt.cancelled
 
         try:
             clear = await self._recovery.operations.authorize_dispatch(
@@ -301,7 +305,7 @@
             _log.exception("record failed")
             clear = False
         if clear:
-            await self._appliances.attempt(attempt, target, write, deadline, done)
+            await self._appliances.run_attempt(attempt, target, write, deadline, done)
         else:
             done(Ending(Progress.NOT_WRITTEN, withheld=True, why="not to be written"))
 
@@ -357,7 +361,7 @@
                     self._addresses[server.id] = address(entry.host_port, entry.instance_id)
                 except ConfigError as error:  # what is sent there then never goes out
                     _log.warning("unusable address", why=str(error))
-        self._appliances.keep_only(set(self._addresses.values()))
+        self._appliances.retain_addresses(set(self._addresses.values()))
         if self._recovery:
             self._recovery.endpoints_changed(listing, kind is api.ServerListKind.CACHED)
         self.post(event)
@@ -374,44 +378,46 @@
         """Answer what has been taken, then let `run` return."""
         self._stopping.set()
 
-    def reload(self, told: Config) -> None:
+    def reload(self, config: Config) -> None:
         """Take over where discovery and the platform are now, and the operators' options; all else stays."""
         old = self._config
         moved = [
             key
             for key, changed in (
-                ("discovery", told.discovery != old.discovery),
-                ("release_api.address", told.platform != old.platform),
+                ("discovery", config.discovery != old.discovery),
+                ("release_api.address", config.platform != old.platform),
             )
             if changed
         ]
-        stays = [key for key in NEEDS_RESTART if getattr(told, key) != getattr(old, key)]
-        if self._platform and told.platform:
-            self._platform.move(told.platform)
-        elif told.platform != old.platform:
+        stays = [key for key in RESTART_ONLY_KEYS if getattr(config, key) != getattr(old, key)]
+        if self._platform and config.platform:
+            self._platform.set_address(config.platform)
+        elif config.platform != old.platform:
             moved.remove("release_api.address")
             stays.append("release_api.address")
-            told = replace(told, platform=old.platform)
-        self._discovery.move(told.discovery)
-        if told.options.group != old.options.group:
+            config = replace(config, platform=old.platform)
+        self._discovery.set_address(config.discovery)
+        if config.options.group != old.options.group:
             stays.append("group")
-            told = replace(told, options=msgspec.structs.replace(told.options, group=old.options.group))
-        if told.options != old.options:
-            self._guard.reconfigure(told.options.slow_peers)
+            config = replace(config, options=msgspec.structs.replace(config.options, group=old.options.group))
+        if config.options != old.options:
+            self._guard.reconfigure(config.options.slow_peers)
             self.engine.ejections.options = self._guard.options.servers.apart
-            self._clients.look_at_all()
+            self._clients.check_all()
             moved.append("slow_peers")
-        self._config = replace(old, discovery=told.discovery, platform=told.platform, options=told.options)
-        with log.named(old.name):
+        self._config = replace(
+            old, discovery=config.discovery, platform=config.platform, options=config.options
+        )
+        with log.bind_agent_name(old.name):
             _log.info("reloaded", moved=moved, needs_restart=stays)
 
     async def run(self, ready: Callable[[], None] | None = None) -> None:
         """Serve until stopped; `ready` is called once clients can connect. OSError where they cannot."""
-        with log.named(self._config.name):  # another agent of this process has another name
+        with log.bind_agent_name(self._config.name):  # another agent of this process has another name
             await self._run(ready)
 
     async def _run(self, ready: Callable[[], None] | None) -> None:
-        listener = listen(self._config.listen)
+        listener = open_listener(self._config.listen)
         async with anyio.create_task_group() as group:
             self._group = group
             for action in self.engine.start(self.clock.now()):
@@ -430,13 +436,13 @@
                 if driver:
                     group.start_soon(driver.run)
             group.start_soon(self._timers.run, lambda token: self.post(api.TimerFired(token)))
-            group.start_soon(self._appliances.sweep)
-            group.start_soon(self._watchdog.run, self._clients.turn)
+            group.start_soon(self._appliances.run_sweeper)
+            group.start_soon(self._watchdog.run, self._clients.on_tick)
             group.start_soon(self._health)
             group.start_soon(self._stop)
             gc.collect()
             gc.freeze()  # what the start left stays for good, so that collections need not go through it
-            gc.set_threshold(GARBAGE_EVERY)
+            gc.set_threshold(GC_THRESHOLD)
             limits = self._config.limits
             _log.info(
                 "listening",
@@ -458,7 +464,7 @@
         await self._stopping.wait()
         _log.info("stopping", clients=len(self._clients), requests=len(self._requests))
         self._clients.drain()
-        await anyio.sleep(LINGER)
+        await anyio.sleep(DRAIN_LINGER_SECONDS)
         self._clients.stop()
         # Danger: a client that does not read its answer would keep the agent for good.
         await anyio.sleep(self._longest)
@@ -468,8 +474,8 @@
 
     async def _health(self) -> None:
         while True:
-            await anyio.sleep(HEALTH_EVERY)
-            late, self._timers.latest = self._timers.latest, 0
+            await anyio.sleep(HEALTH_LOG_INTERVAL_SECONDS)
+            late, self._timers.max_lateness = self._timers.max_lateness, 0
             try:
                 descriptors = len(os.listdir("/proc/self/fd"))
             except OSError:  # it takes a descriptor to count them
@@ -483,9 +489,9 @@
                 clients=len(self._clients),
                 connections=len(self._appliances),
                 requests=len(self._requests),
-                malformed=dict(self._clients.malformed),
+                malformed=dict(self._clients.malformed_counts),
                 shed=self._guard.shed_counter.totals(),
                 waiting=self._guard.budget.buffered_bytes,
-                slept_s=round(self._watchdog.attention.stalled_seconds, 3),
+                slept_s=round(self._watchdog.clock.stalled_seconds, 3),
             )
-            self._clients.malformed.clear()
+            self._clients.malformed_counts.clear()
--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -55,7 +55,7 @@
 )
 SESSION_IDLE_TIMEOUT = 60.0  # seconds for which a party's session is kept
 
-_log = log.get("repair")
+_log = log.get_logger("repair")
 DigestTrees = dict[tuple[str, bool], DigestTree]  # by owner, operations or fences
 
 
--- a/frostfall/net/clock.py
+++ b/frostfall/net/clock.py
@@ -25,7 +25,7 @@
         return (self._steady() + self._offset) // 1000
 
 
-class Timers:
+class TimerQueue:
     """One heap of timers, which one task watches."""
 
     def __init__(self, clock: Clock) -> None:
@@ -34,13 +34,13 @@
         self._heap: list[tuple[int, int, str]] = []
         self._order = count()
         self._wake = anyio.Event()
-        self.latest = 0  # microseconds by which a timer came late at most, since this was last reset
+        self.max_lateness = 0  # microseconds by which a timer came late at most, since this was last reset
 
     def __len__(self) -> int:
         """How many timers are set."""
         return len(self._heap)
 
-    def set(self, delay: int, token: str) -> None:
+    def schedule(self, delay: int, token: str) -> None:
         """Let a token come due after so many microseconds."""
         due = self._clock.now() + max(delay, 0)
         if not self._heap or due < self._heap[0][0]:
@@ -54,7 +54,7 @@
             now = self._clock.now()
             while self._heap and self._heap[0][0] <= now:
                 due, _, token = heapq.heappop(self._heap)
-                self.latest = max(self.latest, now - due)
+                self.max_lateness = max(self.max_lateness, now - due)
                 fire(token)
             if not self._heap:
                 await self._wake.wait()
--- a/frostfall/net/consensus.py
+++ b/frostfall/net/consensus.py
@@ -27,7 +27,7 @@
 
 TICK_INTERVAL = 0.05  # seconds: an election begins after half a second to a second without a leader
 
-_log = log.get("agreement")
+_log = log.get_logger("agreement")
 _DECODER = msgspec.msgpack.Decoder(
     RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot
 )
--- a/frostfall/net/discovery.py
+++ b/frostfall/net/discovery.py
@@ -8,44 +8,51 @@
 
 from frostfall import log
 from frostfall.config import Address
-from frostfall.net.streams import ENDED, BackOff, Stream, connected
+from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
 from frostfall.protocol.listing import CallFailed, Listing, Watch
 
-WAIT_PART = 0.5  # of the time that the settings allow between questions: how long one call waits for news
-WAIT_MOST = 4.0  # seconds: what a silent watch misses counts as told after six, and a new call needs time
-ANSWER_EXTRA = 1.0  # seconds past that wait: discovery answers in turn; after two, its news counts as told
-BACK_OFF, BACK_OFF_MOST = 0.2, 4.0  # seconds between watches that fail unasked, doubling, with jitter
+WAIT_FRACTION = 0.5  # of the time that the settings allow between questions: how long one call waits for news
+MAX_WAIT_SECONDS = (
+    4.0  # seconds: what a silent watch misses counts as told after six, and a new call needs time
+)
+RESPONSE_GRACE_SECONDS = (
+    1.0  # seconds past that wait: discovery answers in turn; after two, its news counts as told
+)
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = (
+    0.2,
+    4.0,
+)  # seconds between watches that fail unasked, doubling, with jitter
 
-_log = log.get("discovery")
+_log = log.get_logger("discovery")
 
 
-class Discovery:
+class DiscoveryClient:
     """Runs the watch when asked to; its failure is told, and the next start is the agent's to ask for."""
 
     def __init__(
         self,
         address: Address,
         since: int | None,
-        ask_within: int,
-        told: Callable[[Listing], None],
-        failed: Callable[[], None],
-        unasked: bool = False,
+        watch_renewal_period: int,
+        on_list: Callable[[Listing], None],
+        on_failure: Callable[[], None],
+        auto_restart: bool = False,
     ) -> None:
         """Watch for what is newer than a version; where nobody has to ask, again by itself."""
         self._address = address
         self._since = since
-        self._wait = min(max(ask_within / 1e6 * WAIT_PART, 1.0), WAIT_MOST)
-        self._told, self._failed = told, failed
+        self._wait = min(max(watch_renewal_period / 1e6 * WAIT_FRACTION, 1.0), MAX_WAIT_SECONDS)
+        self._told, self._failed = on_list, on_failure
         self._asked = anyio.Event()
-        self._unasked = unasked
+        self._unasked = auto_restart
         self._heard = 0  # answers
         self._watching: anyio.CancelScope | None = None
 
-    def ask(self) -> None:
+    def start_watch(self) -> None:
         """Start the watch; one that runs goes on."""
         self._asked.set()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Ask at another address from now on, at once and for the whole list."""
         self._address, self._since = address, None
         self._asked.set()
@@ -54,7 +61,7 @@
 
     async def run(self) -> None:
         """Watch whenever it is asked for."""
-        back_off = BackOff(BACK_OFF, BACK_OFF_MOST)
+        back_off = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         while True:
             if self._unasked:
                 self._asked.set()
@@ -74,15 +81,15 @@
                 if self._unasked:
                     # Danger: outside the scope a move would wait for the rest to end, and pushed lists count
                     # as told meanwhile.
-                    await back_off.rest(self._heard > heard)
+                    await back_off.sleep(self._heard > heard)
 
     async def _watch(self, scope: anyio.CancelScope) -> str:
         try:
             while True:
-                async with connected(self._address) as stream:
+                async with open_stream(self._address) as stream:
                     if (why := await self._calls(stream, scope)) is not None:
                         return why
-        except (OSError, *ENDED) as error:
+        except (OSError, *STREAM_ERRORS) as error:
             return repr(error)
 
     async def _calls(self, stream: Stream, scope: anyio.CancelScope) -> str | None:
@@ -112,7 +119,7 @@
 
     async def _call(self, stream: Stream, watch: Watch) -> Listing | CallFailed | None:
         """One call's answer; None where none comes in time."""
-        with anyio.move_on_after(self._wait + ANSWER_EXTRA):
+        with anyio.move_on_after(self._wait + RESPONSE_GRACE_SECONDS):
             await stream.send(watch.call(self._since, int(self._wait * 1000)))
             while True:
                 try:
--- a/frostfall/net/peers.py
+++ b/frostfall/net/gossip_transport.py
@@ -12,36 +12,36 @@
 from frostfall import log
 from frostfall.config import Address
 
-DATAGRAM_MOST = 256  # bytes: the protocol's limit; a longer one voids the run
-QUEUE_MOST = 64  # datagrams: far more than a tick's; a late one is worth nothing
-PAUSE = 0.1  # seconds: how long the socket rests after an error
+MAX_DATAGRAM_BYTES = 256  # bytes: the protocol's limit; a longer one voids the run
+MAX_QUEUED_DATAGRAMS = 64  # datagrams: far more than a tick's; a late one is worth nothing
+SOCKET_RETRY_SECONDS = 0.1  # seconds: how long the socket rests after an error
 
-_log = log.get("peers")
+_log = log.get_logger("peers")
 
 
-class Peers:
+class GossipTransport:
     """Sends to agents by their numbers and tells what they send."""
 
     def __init__(
         self,
         listen: Address,
         peers: tuple[Address, ...],
-        everyone: Address | None,
-        told: Callable[[int, str], None],
+        broadcast: Address | None,
+        on_message: Callable[[int, str], None],
     ) -> None:
         """Listen here; agents are numbered by their place in `peers`."""
-        self._listen, self._peers, self._everyone, self._told = listen, peers, everyone, told
+        self._listen, self._peers, self._everyone, self._told = listen, peers, broadcast, on_message
         self._numbers = {(peer.host, peer.port): number for number, peer in enumerate(peers)}
-        self._queue: deque[tuple[bytes, Address]] = deque(maxlen=QUEUE_MOST)
+        self._queue: deque[tuple[bytes, Address]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
         self._wake = anyio.Event()
 
-    def tell(self, peer: int | None, text: str) -> None:
+    def send(self, peer: int | None, text: str) -> None:
         """Send one message to an agent, or to all with None; what cannot be sent is dropped."""
         data = text.encode()
         target = (
             self._everyone if peer is None else (self._peers[peer] if 0 <= peer < len(self._peers) else None)
         )
-        if target is None or len(data) > DATAGRAM_MOST:
+        if target is None or len(data) > MAX_DATAGRAM_BYTES:
             _log.warning("message dropped", peer=peer, size=len(data))
             return
         self._queue.append((data, target))
@@ -63,11 +63,11 @@
                     group.cancel_scope.cancel()
             except Exception as error:
                 _log.warning("socket failed", why=repr(error))
-            await anyio.sleep(PAUSE)
+            await anyio.sleep(SOCKET_RETRY_SECONDS)
 
     def _receive(self, data: bytes, host: str, port: int) -> None:
         sender = self._numbers.get((host, port))
-        if sender is None or len(data) > DATAGRAM_MOST:
+        if sender is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
             text = data.decode()
--- a/frostfall/net/log_writer.py
+++ b/frostfall/net/log_writer.py
@@ -28,7 +28,7 @@
 )  # bytes: most records; a longer one is read again in full
 _NAME = re.compile(r"(\d{10})\.seg\Z")
 
-_log = log.get("disk")
+_log = log.get_logger("disk")
 
 
 class SegmentDirectory:
--- a/frostfall/net/member_transport.py
+++ b/frostfall/net/member_transport.py
@@ -15,8 +15,8 @@
 
 from frostfall import log
 from frostfall.config import Address
-from frostfall.net.clients import listen
-from frostfall.net.streams import ENDED, BackOff, Stream, connected
+from frostfall.net.client_connections import open_listener
+from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
 from frostfall.protocol.member_messages import (
     NONCE_BYTES,
     AuthenticatedChannel,
@@ -39,7 +39,7 @@
     4  # connections taken in for each member: its own, an old one that hangs, and operators
 )
 
-_log = log.get("group")
+_log = log.get_logger("group")
 Response = MemberMessage | None | Awaitable[MemberMessage]
 
 
@@ -130,20 +130,20 @@
 
     async def run(self) -> None:
         """Keep the connection up, for good."""
-        back_off = BackOff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
+        back_off = Backoff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
         while True:
             spoke = False
             try:
-                async with connected(self._address) as stream:
+                async with open_stream(self._address) as stream:
                     spoke = await self._speak(stream)
-            except (OSError, MemberProtocolError, *ENDED) as error:
+            except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
                 spoke = self.connected
                 _log.debug("link ended", member=self.name, why=repr(error))
             except Exception:
                 _log.exception("link failed", member=self.name)
             finally:
                 self._lose()
-            await back_off.rest(spoke)
+            await back_off.sleep(spoke)
 
     def _lose(self) -> None:
         self.connected, self._due, self._unanswered = False, 0.0, 0
@@ -171,14 +171,14 @@
 
             async def listen_on() -> None:
                 # Danger: one exception of a group is raised as a group; the loop above wants the plain one.
-                with suppress(MemberProtocolError, *ENDED):
+                with suppress(MemberProtocolError, *STREAM_ERRORS):
                     while True:
                         for message in wire.receive_data(await stream.receive()):
                             self._take(message)
                 group.cancel_scope.cancel()
 
             group.start_soon(listen_on)
-            with suppress(*ENDED):
+            with suppress(*STREAM_ERRORS):
                 # Danger: a machine that lost its power never closes its connections. Counted in words that
                 # were spoken, so that one's own pause ends none.
                 while self._unanswered <= MAX_UNANSWERED_HEARTBEATS:
@@ -243,7 +243,7 @@
 
     async def run(self, address: Address) -> None:
         """Listen for good; OSError where that cannot be."""
-        listener = listen(address)
+        listener = open_listener(address)
         try:
             async with anyio.create_task_group() as group:
                 while True:
@@ -269,13 +269,13 @@
                     first = wire.receive_data(await stream.receive())
             turn = anyio.Lock()
             async with anyio.create_task_group() as group:
-                with suppress(MemberProtocolError, *ENDED):
+                with suppress(MemberProtocolError, *STREAM_ERRORS):
                     await self._answer_all(stream, wire, first, group, turn)
                     while True:
                         messages = wire.receive_data(await stream.receive())
                         await self._answer_all(stream, wire, messages, group, turn)
                 group.cancel_scope.cancel()
-        except (OSError, MemberProtocolError, *ENDED) as error:
+        except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
             if isinstance(error, MemberProtocolError | TimeoutError):
                 _log.warning("a stranger was turned away", why=repr(error))
         except Exception:
@@ -302,7 +302,7 @@
     async def _later(
         self, stream: Stream, wire: AuthenticatedChannel, answer: Awaitable[MemberMessage], turn: anyio.Lock
     ) -> None:
-        with suppress(*ENDED):
+        with suppress(*STREAM_ERRORS):
             await self._say(stream, wire, await answer, turn)
 
     async def _say(
@@ -317,7 +317,7 @@
     address: Address, key: str, command: str, operator: str = "", register_key: str = "", value: str = ""
 ) -> OperatorReport:
     """An operator's word to one member; OSError, Stranger or the end of the stream where it fails."""
-    async with connected(address) as stream:
+    async with open_stream(address) as stream:
         own = os.urandom(NONCE_BYTES)
         wire = AuthenticatedChannel(key, True, own)
         await stream.send(own)
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -67,7 +67,7 @@
 VOTE_HOLD_WAIT = 1.0  # seconds that an operator is kept waiting for other members to have a word
 MAX_PAUSE_TURNS = 3  # turns: a longer gap has been slept through
 
-_log = log.get("recovery")
+_log = log.get_logger("recovery")
 
 
 @dataclass(frozen=True, slots=True)
--- a/frostfall/net/platform.py
+++ b/frostfall/net/rollout_client.py
@@ -11,14 +11,17 @@
 from frostfall import log
 from frostfall.config import Address
 from frostfall.interface import CastVote, RolloutState, VoteReply
-from frostfall.net.streams import ENDED, BackOff, Stream, connected
+from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
 from frostfall.protocol import news, rpc
 
-SILENCE = 3.5  # seconds: a sign of life comes every second
-BACK_OFF, BACK_OFF_MOST = 0.1, 2.0  # seconds between connections that fail, doubling, with jitter
-VOTES_MOST = 16  # votes that may wait for an answer; the platform takes a few a second of an agent
+HEARTBEAT_TIMEOUT_SECONDS = 3.5  # seconds: a sign of life comes every second
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = (
+    0.1,
+    2.0,
+)  # seconds between connections that fail, doubling, with jitter
+MAX_PENDING_VOTES = 16  # votes that may wait for an answer; the platform takes a few a second of an agent
 
-_log = log.get("platform")
+_log = log.get_logger("platform")
 
 
 @dataclass(slots=True)
@@ -30,14 +33,14 @@
     done: anyio.Event = field(default_factory=anyio.Event)
 
 
-class Platform:
+class RolloutClient:
     """Keeps one listening connection up; its news and the answers to votes are told as they come."""
 
-    def __init__(self, address: Address, vote_timeout: int, told: Callable[[RolloutState], None]) -> None:
+    def __init__(self, address: Address, vote_timeout: int, on_state: Callable[[RolloutState], None]) -> None:
         """Talk to the platform at this address."""
         self._address = address
         self._vote_timeout = vote_timeout / 1e6
-        self._told = told
+        self._told = on_state
         self._stream: Stream | None = None
         self._sending = anyio.Lock()
         self._number = 0
@@ -46,15 +49,15 @@
         self._group: TaskGroup | None = None
         self._listening: anyio.CancelScope | None = None
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Talk to the platform at another address from now on; votes without an answer end as unknown."""
         self._address = address
         if self._listening:
             self._listening.cancel()
 
-    def cast(self, action: CastVote) -> None:
+    def cast_vote(self, action: CastVote) -> None:
         """Send a vote; its reply is told later."""
-        if self._group is None or self._under_way >= VOTES_MOST:
+        if self._group is None or self._under_way >= MAX_PENDING_VOTES:
             self._told(news.without_state(action, VoteReply.ERROR))
         else:
             self._group.start_soon(self._vote, action)
@@ -62,7 +65,7 @@
     async def run(self) -> None:
         """Connect, listen, and again."""
         async with anyio.create_task_group() as self._group:
-            back_off = BackOff(BACK_OFF, BACK_OFF_MOST)
+            back_off = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
             while True:
                 began = anyio.current_time()
                 why = "failed"
@@ -72,15 +75,15 @@
                     except Exception:
                         _log.exception("connection failed")
                     _log.info("connection ended", why=why)
-                    await back_off.rest(anyio.current_time() - began > SILENCE)
+                    await back_off.sleep(anyio.current_time() - began > HEARTBEAT_TIMEOUT_SECONDS)
 
     async def _listen(self) -> str:
         try:
-            async with connected(self._address) as stream:
+            async with open_stream(self._address) as stream:
                 await stream.send(rpc.call(self._next(), news.LISTEN))
                 self._stream = stream
                 return await self._read(stream)
-        except (OSError, *ENDED) as error:
+        except (OSError, *STREAM_ERRORS) as error:
             return repr(error)
         finally:
             self._stream = None
@@ -93,7 +96,7 @@
         heard = anyio.current_time()
         while True:
             data = b""
-            with anyio.move_on_at(heard + SILENCE):
+            with anyio.move_on_at(heard + HEARTBEAT_TIMEOUT_SECONDS):
                 data = await stream.receive()
             if not data:
                 return "silence"
@@ -171,7 +174,7 @@
                     reply = VoteReply.UNKNOWN  # from here on it may have been carried out
                     try:
                         await stream.send(rpc.call(number, news.VERDICT, news.vote(action)))
-                    except ENDED:
+                    except STREAM_ERRORS:
                         return
                 await vote.done.wait()
         except Exception:
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -16,37 +16,37 @@
 from frostfall.config import Address
 from frostfall.protocol.pg import READ_MOST
 
-CONNECT_TIMEOUT = 1.0  # seconds: a service that is cut off never accepts; appliances have settings
-DISCARD_MOST = 8  # reads: who sends more than that unasked is not waited for
+CONNECT_TIMEOUT_SECONDS = 1.0  # seconds: a service that is cut off never accepts; appliances have settings
+MAX_DISCARD_READS = 8  # reads: who sends more than that unasked is not waited for
 _INT = struct.Struct("i")
 _UNSENT, _NOT_SENT = termios.TIOCOUTQ, 0x894B  # SIOCOUTQ, SIOCOUTQNSD: tcp(7), linux/sockios.h
 _LINGER_NONE = struct.pack("ii", 1, 0)
-ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+STREAM_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
-class Sockets:
+class SocketBudget:
     """The descriptors that clients and appliances share."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, limit: int) -> None:
         """So many at most."""
-        self.most, self.used = most, 0
+        self.limit, self.used = limit, 0
 
     @property
-    def full(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether another needs one of these closed first."""
-        return self.used >= self.most
+        return self.used >= self.limit
 
 
-class BackOff:
+class Backoff:
     """Rests between tries that fail: doubling, with jitter, from the first again after one that went well."""
 
-    def __init__(self, first: float, most: float) -> None:
+    def __init__(self, first: float, maximum: float) -> None:
         """Rest for so many seconds at first, and at most."""
-        self._first, self._most, self._wait = first, most, first
+        self._first, self._most, self._wait = first, maximum, first
 
-    async def rest(self, went_well: bool) -> None:
+    async def sleep(self, succeeded: bool) -> None:
         """Rest before the next try."""
-        self._wait = self._first if went_well else min(self._wait * 2, self._most)
+        self._wait = self._first if succeeded else min(self._wait * 2, self._most)
         await anyio.sleep(self._wait * random.uniform(0.5, 1.0))
 
 
@@ -60,12 +60,12 @@
         self._raw = raw
 
     @property
-    def unsent(self) -> int:
+    def unacknowledged_bytes(self) -> int:
         """Bytes that the kernel holds and the peer's has not acknowledged; 0 where that is not told."""
         return self._held(_UNSENT)
 
     @property
-    def queued(self) -> int:
+    def unsent_bytes(self) -> int:
         """Those of them that the kernel has not sent for the first time; 0 where that is not told."""
         return self._held(_NOT_SENT)
 
@@ -76,22 +76,22 @@
             return 0
 
     @property
-    def broken(self) -> bool:
+    def has_failed(self) -> bool:
         """Whether the connection has been reset or has failed."""
         return self._raw.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
-    def bound(self, most: int) -> None:
+    def limit_send_buffer(self, max_bytes: int) -> None:
         """Let the kernel hold about so many bytes that are not sent, and no more."""
         with suppress(OSError):  # the kernel takes twice what it is told, for what it needs around the bytes
-            self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, most // 2)
+            self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, max_bytes // 2)
 
-    def abandon(self) -> None:
+    def reset_on_close(self) -> None:
         """Let the close that follows be a reset, which frees at once what the kernel still holds."""
         with suppress(OSError):
             self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
 
     @property
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing has come that is unread, not even the end."""
         try:
             self._raw.recv(1, socket.MSG_PEEK)
@@ -101,12 +101,12 @@
             pass
         return False
 
-    async def receive(self, most: int = READ_MOST) -> bytes:
+    async def receive(self, max_bytes: int = READ_MOST) -> bytes:
         """Up to so many bytes, once there are any; each call lets the others have their turn."""
         while True:
             await anyio.wait_readable(self._raw)
             try:
-                data = self._raw.recv(most)
+                data = self._raw.recv(max_bytes)
             except BlockingIOError:
                 continue
             except OSError as error:
@@ -124,7 +124,7 @@
         except OSError as error:
             raise anyio.BrokenResourceError from error
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until more can be written."""
         await anyio.wait_writable(self._raw)
 
@@ -132,17 +132,17 @@
         """Write all of it."""
         sent = self.write(data)
         while sent < len(data):
-            await self.writable()
+            await self.wait_writable()
             sent += self.write(memoryview(data)[sent:])
 
-    def discard(self) -> None:
+    def discard_input(self) -> None:
         """Read away what has come by now, up to a bound: bytes unread make a close a reset."""
         with suppress(OSError):
-            for _ in range(DISCARD_MOST):
+            for _ in range(MAX_DISCARD_READS):
                 if len(self._raw.recv(READ_MOST)) < READ_MOST:
                     return
 
-    def stop_reading(self) -> None:
+    def shutdown_read(self) -> None:
         """Let reading end after what has come by now."""
         with suppress(OSError):
             self._raw.shutdown(socket.SHUT_RD)
@@ -153,7 +153,7 @@
         self._raw.close()
 
 
-def unconnected(address: Address) -> socket.socket:
+def create_socket(address: Address) -> socket.socket:
     """A TCP socket of this address's kind, which never waits."""
     raw = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET, socket.SOCK_STREAM)
     raw.setblocking(False)
@@ -162,7 +162,7 @@
 
 async def connect(address: Address) -> Stream:
     """A new connection; OSError where it is refused."""
-    raw = unconnected(address)
+    raw = create_socket(address)
     try:
         with suppress(BlockingIOError):
             raw.connect((address.host, address.port))
@@ -176,9 +176,9 @@
 
 
 @asynccontextmanager
-async def connected(address: Address) -> AsyncIterator[Stream]:
+async def open_stream(address: Address) -> AsyncIterator[Stream]:
     """A connection for as long as the block lasts; TimeoutError where none comes up."""
-    with anyio.fail_after(CONNECT_TIMEOUT):
+    with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
         stream = await connect(address)
     try:
         yield stream
--- a/frostfall/program.py
+++ b/frostfall/program.py
@@ -40,7 +40,7 @@
     try:
         agent.reload(config.load(os.environ))
     except config.ConfigError as error:
-        log.get("main").error("reload refused", why=str(error))
+        log.get_logger("main").error("reload refused", why=str(error))
 
 
 def main() -> int:
@@ -54,7 +54,7 @@
         sys.stderr.write(f"frostfall: {error}\n")
         return 2
     log.configure(told.log_level)
-    with log.named(told.name):
+    with log.bind_agent_name(told.name):
         fault = anyio.run(serve, Agent(told))
     if fault:
         sys.stderr.write(f"frostfall: listen: {told.listen}: {fault}\n")
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -17,7 +17,7 @@
 from frostfall.bench.peers import WELCOME, Reader, row
 from frostfall.bench.stage import free_port
 from frostfall.config import Address
-from frostfall.net.streams import ENDED as CLOSED
+from frostfall.net.streams import STREAM_ERRORS as CLOSED
 from frostfall.protocol import pg
 from tests.test_config import EXAMPLE
 
