--- a/frostfall/policy/engine.py
+++ b/frostfall/policy/engine.py
@@ -4,16 +4,24 @@
 
 import math
 import random
-from collections import defaultdict, deque
+from collections import defaultdict
 from typing import Any
 from zlib import crc32
 
 from frostfall import interface as api
 from frostfall.interface import Availability, Idempotency, Outcome, RolloutPhase, Verdict, VoteReply
-from frostfall.mixing import exchange_partner, mixing_rate, round_length
+from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.mechanisms.exposure_log import ExposureLog
+from frostfall.mechanisms.mixing import ExchangeSchedule
+from frostfall.mechanisms.poisson import safe_utilization
+from frostfall.mechanisms.service_times import ServiceTimes
+from frostfall.mechanisms.sprt import decision_threshold, kl_divergence, log_likelihood_ratio
+from frostfall.mechanisms.throughput import Throughput
+from frostfall.mechanisms.token_bucket import TokenBucket
+from frostfall.mechanisms.watch_schedule import WatchParameters, WatchSchedule
+from frostfall.mechanisms.weighted_choice import choose_by_cost
 from frostfall.routing.outlier_ejection import OutlierEjections
 from frostfall.shared_health.server_health import SharedHealth
-from frostfall.sprt import decision_threshold, kl_divergence, log_likelihood_ratio
 from frostfall.state import Attempt, GossipMessage, PendingRequest, PendingVote, SequentialTest, ServerState
 
 TICK, HOLD = 100_000, 50_000  # in us: one exchange, over a message's way; how often a held request is tried
@@ -40,8 +48,10 @@
 RETRY_SHARE, RETRY_DEPTH = 0.15, 6.0  # further attempts per request taken, and how many may be saved up
 ANSWER_EARLY, OVERDUE = 10_000, 3.0  # before the deadline; usual times after which an open attempt tells
 WINDOW_PART, WINDOW_LEAST = 0.8, 3.0  # of a key's window: cut then at the latest; usual times it has to hold
-SHUN_FIRST, SHUN_MOST = 300_000, 4_000_000  # how long an unreachable server is left alone, doubling
-PROBE_SHARE, APART = 0.5, 200_000  # probes a request taken; of all agents' calls to discovery, served in turn
+SHUN_FIRST, SHUN_MOST = 300_000, 4_000_000  # us that an unreachable server is left alone, doubling
+PROBE_SHARE, PROBE_DEPTH = 0.5, 2.0  # probes per request taken, and how many may be saved up
+WATCH = WatchParameters(retry_first=300_000, retry_longest=4_000_000, retry_jitter=100_000, spacing=200_000,
+                        start_part=5)  # us
 SHED_UP, SHED_DOWN, SHED_MOST = 0.03, 0.01, 0.6  # part shed: up by each late answer, down by each timely one
 SHED_PACE = 40.0  # answers a second from which the steps are these; up to three times as large below
 FILL, IDLE_FILL, IDLE_QUEUE, SPARE = 0.6, 0.9, 0.5, 0.3  # of the aim; if so few wait; kept for the worthiest
@@ -59,25 +69,25 @@
         self.now, self.actions = 0, list[api.Action]()
         self.servers, self.requests = dict[int, ServerState](), dict[str, PendingRequest]()
         self.waiting: dict[str, PendingRequest] = {}  # requests with no server to go to yet, in order
-        self.rate, self.rate_at, self.carried = 0.0, 0, 0.0  # requests served a second; the most by a server
+        self.throughput = Throughput(memory=RATE_MEMORY, peak_memory=CARRY_MEMORY)
         self.fleet, self.trials = list[ServerState](), list[ServerState]()  # servers up; on trial
         self.norms = defaultdict[int, list[float]](lambda: [0.0, 1.0])  # by build: mean errors and slowness
         self.shed, self.best = 0.0, max((kind.priority_weight for kind in settings.classes), default=1.0)
-        self.retry_tokens, self.probe_tokens, self.holding = RETRY_DEPTH, 0.0, False
-        self.mean_time, self.mean_hint = dict[str, float](), dict[str, float]()  # by class
-        self.usual, self.in_flight, self.others, self.queue = 0.0, 0, 0.0, 1.0  # answer time; queue: waiting
-        self.timed, self.ask_backoff, self.ask_at = defaultdict[str, int](int), SHUN_FIRST, 0
+        self.retry_budget = TokenBucket(capacity=RETRY_DEPTH, tokens=RETRY_DEPTH)
+        self.health_checks = TokenBucket(capacity=PROBE_DEPTH, tokens=0.0)
+        self.times = ServiceTimes(weight=LEARN_MEAN, smallest_scale=0.3, largest_scale=3.0)
+        self.holding, self.in_flight, self.others, self.queue = False, 0, 0.0, 1.0  # queue: mean at servers
+        renewal = self.rules.watch_renewal_period
+        self.watch = WatchSchedule(WATCH, agents=self.agents, renewal=renewal, source=self.random)
         self.rollout_state: api.RolloutState | None = None
-        self.taken = defaultdict[str, deque[int]](deque)
-        self.exposures = defaultdict[tuple[int, str], deque[int]](deque)
-        self.restarts, self.answered_by = list[int](), dict[str, int]()  # the latter of one-way keys
-        self.turns, self.turn, self.tick = round_length(self.agents), -1, TICK
-        self.r, self.eager = mixing_rate(self.agents, self.turns), EAGER
+        self.exposure_log = ExposureLog(self.rollout.exposure_window if self.rollout else 0)
+        self.answered_by = dict[str, int]()  # of one-way keys
+        self.schedule, self.eager = ExchangeSchedule(settings.agent, self.agents, TICK), EAGER
         self.rows = dict[tuple[int, str], list[float]]()  # by build, class: own outcomes, failed, ever
         self.flags, self.calm, self.gone = dict[int, int](), 0.0, -1  # disputes; late before; build gone back
         self.test: SequentialTest | None = None
         self.ballot: PendingVote | None = None
-        self.shared_health = SharedHealth(self.agents, self.turns)  # what all agents saw of each server
+        self.shared_health = SharedHealth(self.agents, self.schedule.exchanges)  # what all agents saw
         self.ejections = OutlierEjections()  # servers that turned slow in the middle of an answer
         self.handlers: dict[type, Any] = {
             api.RequestArrived: self._arrive, api.AttemptEnded: self._ended, api.TimerFired: self._timer,
@@ -90,9 +100,7 @@
         """The first actions of a new instance."""
         self.now, self.actions = now, []
         self.actions.append(api.SetTimer(TICK - now % TICK, TICKS))  # by the clock: agents exchange in step
-        # Danger: hundreds of agents that start together and ask at once are turned away.
-        spread = min(self.agents * APART, self.rules.watch_renewal_period) // 5
-        self.ask_at = now + self.random.randrange(spread + 1)
+        self.watch.start(now)
         return self.actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
@@ -122,13 +130,12 @@
 
     def _listed(self, event: api.ServerListUpdated) -> None:
         if event.kind is api.ServerListKind.FAILED:
-            # Danger: without a subscription we send to servers that have left. Ask again, ever more slowly.
-            self.ask_at = self.now + self.ask_backoff + self.random.randrange(100_000)
-            self.ask_backoff = min(self.ask_backoff * 2, SHUN_MOST)
+            self.watch.failed(self.now)
             return
         if event.kind is not api.ServerListKind.CACHED:  # which nobody was asked for
-            self.ask_at = self.now + max(self.rules.watch_renewal_period, self.agents * APART)
-        self.ask_backoff, listed = SHUN_FIRST, {info.id for info in event.servers}
+            self.watch.renew(self.now)
+        self.watch.succeeded()
+        listed = {info.id for info in event.servers}
         self.servers = {name: s for name, s in self.servers.items() if name in listed or (
             event.kind is api.ServerListKind.DELTA)}
         for info in event.servers:
@@ -142,7 +149,8 @@
                 # Danger: agents together push a cold server over. By a chance start, parts of a send add up.
                 rank, credit = self.random.random(), self.random.random()
                 self.ejections.forget(info.id)
-                state = ServerState(info, rank, warm_up_credit=credit, credit_updated_at=self.now)
+                ejection = ExponentialBackoff(SHUN_FIRST, SHUN_MOST)
+                state = ServerState(info, ejection, rank, warm_up_credit=credit, credit_updated_at=self.now)
                 self.servers[info.id] = state
         up = (s for s in self.servers.values() if s.info.availability is Availability.UP)
         self.fleet = sorted(up, key=lambda s: s.rank)
@@ -164,21 +172,18 @@
         return self.rules.warm_up_initial_share + (1 - self.rules.warm_up_initial_share) * warm
 
     def _served(self) -> float:  # requests per second of late
-        past, self.rate_at = self.rate_at - self.now, self.now
-        self.rate *= math.exp(past / RATE_MEMORY)
-        self.carried = max(self.carried * math.exp(past / CARRY_MEMORY), self.rate / max(len(self.fleet), 1))
-        return self.rate
+        return self.throughput.update(self.now, len(self.fleet))
 
     def _credit(self, server: ServerState) -> float:
         # Our part of what a server carries (served: more may be asked than can be done), times its least
         # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
         # Danger: a fleet all cold serves less, and would be allowed less still. What was carried counts.
         self._served()
-        everyone = max(self.carried, self.test.carried * self._pool(self.test) if self.test else 0.0)
+        carried = self.throughput.peak_per_server
+        everyone = max(carried, self.test.carried * self._pool(self.test) if self.test else 0.0)
         most = self.rules.overload_multiple * self._capacity(server)
         budget = max(most * everyone * self.rules.overload_window / 1e6, 1e-9)
-        safe = max(1 + (LUCK ** 2 - LUCK * math.sqrt(2 * budget + LUCK ** 2)) / budget, 0.0)
-        earned = max(most * self.carried * safe, COLD_LEAST / self.agents)
+        earned = max(most * carried * safe_utilization(budget, LUCK), COLD_LEAST / self.agents)
         span = min(self.now - server.credit_updated_at, self.rules.overload_window) / 1e6
         server.credit_updated_at = self.now
         server.warm_up_credit = min(server.warm_up_credit + earned * span, 1.0)
@@ -193,11 +198,10 @@
         if request is None or request.attempts[number].outcome is not None:
             return False
         attempt = request.attempts[number]
-        log = self.exposures[attempt.server.info.build, request.exposure_group]
-        if attempt.sent_at in log:  # it counts from when it is written, if it is
-            log.remove(attempt.sent_at)
+        build, group = attempt.server.info.build, request.exposure_group
+        self.exposure_log.withdraw_sent(attempt.sent_at, build, group)  # it counts from when it is written
         if may := self._may_send(request, attempt.server, attempt):
-            log.append(now)
+            self.exposure_log.record_sent(now, build, group)
         return may
 
     def _may_send(self, request: PendingRequest, server: ServerState, writing: Attempt | None = None) -> bool:
@@ -241,25 +245,15 @@
         if cap <= 0 or (stage < rollout.idempotent_only_stages and not request.kind.idempotent):
             return False
         # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
-        while self.restarts and self.now >= self.restarts[0]:
-            self.restarts.pop(0)
-            self.taken.clear()
-        group = request.exposure_group
-        taken, sent = self._count(self.taken[group]), self._count(self.exposures[build, group])
-        return len(sent) + 1 <= rollout.uncounted_attempts + cap * len(taken)
-
-    def _count(self, log: deque[int]) -> deque[int]:  # what lies in the window of the rule on exposure
-        window = self.rollout.exposure_window if self.rollout else 0
-        while log and log[0] < self.now - window:
-            log.popleft()
-        return log
+        counts = self.exposure_log.counts(self.now, build, request.exposure_group)
+        return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.taken
 
     def _send(self, request: PendingRequest, server: ServerState, mean: float) -> None:
         """Send, if the guards allow it: the only place where an attempt begins."""
         name = request.arrival.request
         if not self._may_send(request, server):
             raise AssertionError(f"policy chose to send {name} where the guards forbid it")
-        self._count(self.exposures[server.info.build, request.exposure_group]).append(self.now)
+        self.exposure_log.record_sent(self.now, server.info.build, request.exposure_group)
         server.warm_up_credit = max(server.warm_up_credit - 1, 0.0)
         self.in_flight += 1
         request.attempts.append(Attempt(server, self.now, max(1.0, self._load(server) / mean)))
@@ -294,11 +288,10 @@
         kind = self.request_classes.get(name, unknown)
         group = kind.name if self.rollout and self.rollout.exposure_per_class else ""
         request = self.requests[event.request] = PendingRequest(event, kind, self.now, group)
-        self.retry_tokens = min(self.retry_tokens + RETRY_SHARE, RETRY_DEPTH)
-        self._count(self.taken[group]).append(self.now)
-        self.probe_tokens = min(self.probe_tokens + PROBE_SHARE, 2.0)
-        mean = self.mean_hint.get(kind.name, float(event.service_time_hint or 0))
-        self.mean_hint[kind.name] = mean + LEARN_MEAN * ((event.service_time_hint or mean) - mean)
+        self.retry_budget.earn(RETRY_SHARE)
+        self.exposure_log.record_taken(self.now, group)
+        self.health_checks.earn(PROBE_SHARE)
+        self.times.record_hint(kind.name, event.service_time_hint)
         self.actions.append(api.SetTimer(max(left - ANSWER_EARLY, 0), event.request))
         # Danger: an agent with little open cannot see by its count that all is overloaded; late answers tell.
         shed = self.shed ** (2 * kind.priority_weight / max(self.best, 1e-9)) if self.shed else 0.0
@@ -308,8 +301,8 @@
         # Danger: when more is asked than can be served, all come late. So no more is open than is served in
         # what answers may take (Little's law), by a class's aim and own times; the least worthy wait first.
         kind, fill = request.kind, IDLE_FILL if self.queue < IDLE_QUEUE else FILL
-        part = self.mean_time.get(kind.name, self.usual) / self.usual if self.usual else 1.0
-        little = self._served() * fill * kind.latency_objective / max(part, 0.3) / 1e6 + 2
+        part = max(self.times.ratio(kind.name), 0.3)
+        little = self._served() * fill * kind.latency_objective / part / 1e6 + 2
         fit = max(little, len(self.servers) / 2,
                   len(self.fleet) * (EACH - self.others))  # servers that hold so little, by their reports
         return self.in_flight < fit * (1 - SPARE + SPARE * kind.priority_weight / max(self.best, 1e-9))
@@ -342,9 +335,7 @@
             keen, loads = [self._keen(s) for s in preferred], [self._load(s) for s in preferred]
             informed, mean = (sum(keen) / len(keen) - 1) / (KEEN - 1), sum(map(self._load, some)) / len(some)
             costs = [self._cost(request, *each, informed) for each in zip(preferred, loads, keen)]
-            usual = sorted(costs)[len(costs) // 2]
-            odds = [(cost / usual) ** -power for cost, power in zip(costs, keen)]
-            self._send(request, self.random.choices(preferred, odds)[0], mean)
+            self._send(request, choose_by_cost(self.random, preferred, costs, keen), mean)
         elif now - request.arrived_at < request.kind.latency_objective // 3 and (
                 len(self.waiting) < NEAR + self._served() * request.kind.latency_objective / 3e6):
             self.waiting[request.arrival.request] = request
@@ -353,9 +344,10 @@
                 self.actions.append(api.SetTimer(HOLD, HOLDS))
         else:
             self._give_up(request)
-        if self.probing and self.probe_tokens >= 1 and some:
+        if self.probing and self.health_checks.tokens >= 1 and some:
+            self.health_checks.spend(1)
             oldest = min(some, key=lambda s: s.checked_at)
-            oldest.checked_at, self.probe_tokens = self.now, self.probe_tokens - 1
+            oldest.checked_at = self.now
             self.actions.append(api.CheckServerHealth(oldest.info.id))
 
     def _short(self) -> bool:
@@ -395,8 +387,9 @@
         trial = self.test if self.test and info.build == self.test.key[0] else None
         cost *= 2.0 ** -(self.eager * informed * (1 + min(trial.lean, 1.0))) if trial else 1.0
         cost /= 1.0 if trial and self._short() else self._capacity(server)
-        if server.in_flight and self.usual:  # Danger: a lost, stuck or slow server looks idle to its list.
-            overdue = (self.now - min(server.in_flight.values())) / self.usual / OVERDUE
+        if server.in_flight and self.times.overall_mean:
+            # Danger: a lost, stuck or slow server looks idle to its list.
+            overdue = (self.now - min(server.in_flight.values())) / self.times.overall_mean / OVERDUE
             cost *= min(max(overdue, 1.0), 10.0)
         cost *= 1 + 5 * self.settings.prices.cross_zone * (info.zone != self.settings.zone)
         if request.arrival.key and self.rollout and self.rollout.key_affinity:
@@ -405,14 +398,14 @@
 
     def _timeout(self, request: PendingRequest) -> int:
         kind, left = request.kind, request.arrival.deadline - self.now
-        mean = self.mean_time.get(kind.name, kind.deadline)
+        mean = self.times.means.get(kind.name, kind.deadline)
         cut = int(max(6 * mean, 0.7 * kind.latency_objective))
         if kind.idempotency is Idempotency.KEYED:
             # Danger: with its window over, a keyed request may go nowhere else. So it is cut while a repeat
             # may still go, or not at all where usual answers take that long.
             soon = int(WINDOW_PART * kind.deduplication_window)
             cut = min(cut, soon) if soon >= WINDOW_LEAST * mean else left
-        return left if not kind.retryable or self.retry_tokens < 1 else min(left, cut)
+        return left if not kind.retryable or self.retry_budget.tokens < 1 else min(left, cut)
 
     def _ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
@@ -437,24 +430,24 @@
 
     def _again(self, request: PendingRequest, outcome: Outcome) -> None:
         allowed = outcome.never_ran or request.kind.idempotency is not Idempotency.NON_IDEMPOTENT
-        if not allowed or request.arrival.deadline - self.now < ANSWER_EARLY or self.retry_tokens < 1:
+        if not allowed or request.arrival.deadline - self.now < ANSWER_EARLY or self.retry_budget.tokens < 1:
             return self._give_up(request)
-        self.retry_tokens -= 0.2 if outcome in (Outcome.UNREACHABLE, Outcome.NEVER_SENT) else 1.0
+        self.retry_budget.spend(0.2 if outcome in (Outcome.UNREACHABLE, Outcome.NEVER_SENT) else 1.0)
         return self._place(request)
 
     def _learn(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
-        server, name = attempt.server, request.kind.name
+        server = attempt.server
         silent = event.outcome is Outcome.UNREACHABLE or (
             event.outcome is Outcome.TIMED_OUT and server.heard_at <= attempt.sent_at)
         if silent or event.outcome in (Outcome.SUCCESS, Outcome.ERROR):  # who is late tells of load
             failed = event.outcome is Outcome.ERROR
             self.shared_health.record_attempt(server.incarnation, server.info.zone, failed, silent)
         if event.outcome is Outcome.UNREACHABLE:
-            server.ejection_pause = min(max(server.ejection_pause * 2, SHUN_FIRST), SHUN_MOST)
-            server.ejected_until = self.now + server.ejection_pause
+            server.ejected_until = self.now + server.ejection.next()
             return
         if event.outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED):
-            server.heard_at, server.ejection_pause = self.now, 0
+            server.heard_at = self.now
+            server.ejection.reset()
             server.ejected_until = self.now + SHUN_FIRST * (event.outcome is Outcome.OVERLOADED)
         norm = self.norms[server.info.build]
         server.error_rate, server.slowness = self._faded(server)
@@ -462,26 +455,22 @@
         if event.outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET):
             server.error_rate += LEARN_ERRORS * ((event.outcome is not Outcome.SUCCESS) - server.error_rate)
             norm[0] += LEARN_NORM * (server.error_rate - norm[0])
-        self.rate = self._served() + (event.outcome is Outcome.SUCCESS) * 1e6 / RATE_MEMORY
+        self.throughput.record(self.now, len(self.fleet), served=event.outcome is Outcome.SUCCESS)
         if event.outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
             step = SHED_UP if event.elapsed > request.kind.latency_objective else -SHED_DOWN
             # Danger: with few answers a second, an agent would go on shedding for long. And who waits for a
             # server that is gone waits for no load.
-            step *= min(max(SHED_PACE / max(self.rate, 1.0), 1.0), 3.0) * (not silent)
+            step *= min(max(SHED_PACE / max(self.throughput.rate, 1.0), 1.0), 3.0) * (not silent)
             self.shed = min(max(self.shed + step, 0.0), SHED_MOST)
             times = event.elapsed / max(self._usual(request), 1.0)
             server.slowness += LEARN_SLOW * (min(max(times, 0.3), 8.0) - server.slowness)
             norm[1] += LEARN_NORM * (server.slowness - norm[1])
-            self.timed[name] += 1
-            mean, weight = self.mean_time.get(name, 0.0), max(LEARN_MEAN, 1 / self.timed[name])
-            self.mean_time[name] = mean + weight * (event.elapsed - mean)
-            self.usual += weight * (event.elapsed - self.usual)
+            self.times.record(request.kind.name, event.elapsed)
         self._report(server, event.load)
 
     def _usual(self, request: PendingRequest) -> float:
         name, hint = request.kind.name, request.arrival.service_time_hint
-        work = min(max(hint / max(self.mean_hint[name], 1.0), 0.3), 3.0) if hint else 1.0
-        return work * self.mean_time.get(name, request.kind.latency_objective / 2)
+        return self.times.expected(name, hint, default=request.kind.latency_objective / 2)
 
     def _report(self, server: ServerState, load: api.LoadReport | None) -> None:
         self.queue += LEARN_NORM * (load.queued - self.queue) if load and load.queued is not None else 0.0
@@ -497,13 +486,13 @@
     def _news(self, news: api.RolloutState) -> None:
         if news.reply in (VoteReply.NONE, VoteReply.COUNTED):
             if self.rollout_state and news.cap < self.rollout_state.cap:
-                self.restarts.append(self.now + self.rules.drain_grace)
+                self.exposure_log.restart_at(self.now + self.rules.drain_grace)
             self.rollout_state = news
             key = (news.build, news.stage if news.phase is RolloutPhase.TRIAL else -1)
             # Danger: in a large fleet a round takes a second, and each stage would wait for two of them.
             votes = self.rollout is not None and self.rollout.control is api.RolloutControl.VOTES
-            fast = votes and news.phase is RolloutPhase.TRIAL and self.turns >= LONG
-            self.tick = TRIAL_TICK if fast else TICK
+            fast = votes and news.phase is RolloutPhase.TRIAL and self.schedule.exchanges >= LONG
+            self.schedule.period = TRIAL_TICK if fast else TICK
             if news.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
                 self.test, self.gone = None, news.build
                 self.shared_health.set_trial_stage()
@@ -524,7 +513,10 @@
         # Danger: where builds follow one another all day, what is kept of each would add up.
         since = self._earlier(build)
         self.answered_by = {key: b for key, b in self.answered_by.items() if b >= build}
-        for kept in list[dict[Any, Any]]((self.rows, self.flags, self.norms, self.exposures)):
+        for old in self.exposure_log.builds():
+            if old < since or old == self.gone:
+                self.exposure_log.forget(old)
+        for kept in list[dict[Any, Any]]((self.rows, self.flags, self.norms)):
             for key, b in [(key, key if isinstance(key, int) else key[0]) for key in kept]:
                 kept.pop(key) if b < since or b == self.gone else None
         return since
@@ -560,7 +552,8 @@
     def _bands(self, test: SequentialTest) -> list[tuple[float, float]]:
         # Danger: with peers silent or cut off the mixed score is the mean of few agents', and strays further.
         # r is that of the exchanges of the round that took place: each halves the spread's square.
-        n, r = self.agents, max(self.r, 2.0 ** (-test.met / 2)) if test.missed else self.r
+        n, r = self.agents, self.schedule.mixing_rate
+        r = max(r, 2.0 ** (-test.met / 2)) if test.missed else r
         pace = test.count / max(test.steps, 1)
         rates = [kl_divergence(sum(each), each[0]) * pace if each else 0.0 for each in self._streams(test)]
         return [(decision_threshold(ALPHA, n, r, m), -decision_threshold(BETA / n, n, r, m)) for m in rates]
@@ -608,42 +601,44 @@
     def _hear(self, event: api.GossipReceived) -> None:
         # Danger: a peer on another build or stage, or a mangled message, must not reach the score.
         test, (score, _, servers) = self.test, event.text.partition(" ")
-        if event.sender != exchange_partner(self.settings.agent, self.agents, self.turn, self.turns):
+        turn = self.schedule.turn
+        if event.sender != self.schedule.partner(turn):
             return
-        self.shared_health.push_sum.receive(self.turn, servers)
+        self.shared_health.push_sum.receive(turn, servers)
         told = GossipMessage.decode(score)
-        if test and told and (*test.key, self.turn & 0xFFFF) == (told.build, told.stage, told.turn):
+        if test and told and (*test.key, turn & 0xFFFF) == (told.build, told.stage, told.turn):
             test.heard = told.numbers
 
     def _tick(self) -> None:
-        self.actions.append(api.SetTimer(self.tick - self.now % self.tick, TICKS))
-        if self.settings.needs_watch and self.now >= self.ask_at:
-            self.ask_at = self.now + max(self.rules.watch_renewal_period, self.agents * APART)
+        schedule, period = self.schedule, self.schedule.period
+        self.actions.append(api.SetTimer(period - self.now % period, TICKS))
+        if self.settings.needs_watch and self.watch.is_due(self.now):
+            self.watch.renew(self.now)
             self.actions.append(api.WatchServerList())
-        test, me, last, self.turn = self.test, self.settings.agent, self.turn, self.now // self.tick
+        test, last, turn = self.test, schedule.advance(self.now), schedule.turn
         if self.rollout is None:
             return
-        itself = exchange_partner(me, self.agents, last, self.turns) == me
+        itself = schedule.is_unpaired(last)
         self.shared_health.push_sum.end_exchange(last, itself)
         # Danger: a silent partner freezes its term. Its half of the weight goes back to our own.
-        if test and test.heard and last == self.turn - 1:
+        if test and test.heard and last == turn - 1:
             test.mix = [(own + told) / 2 for own, told in zip(test.mix, test.heard)]
         if test:
             met = test.heard is not None or itself
             test.heard, test.meets, test.turns = None, test.meets + met, test.turns + 1
-        if self.turn % self.turns == 0:
-            self.shared_health.end_round(self.turns * self.tick)
+        if schedule.begins_round:
+            self.shared_health.end_round(schedule.round_duration)
             fleet = [(s.incarnation, s.info.zone) for s in self.fleet]
             avoided = self.shared_health.servers_to_avoid(fleet, self.random.random)
             for server in self.fleet:
                 server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
                 if server.incarnation in avoided:
-                    server.ejected_until = max(server.ejected_until, self.now + self.turns * self.tick)
+                    server.ejected_until = max(server.ejected_until, self.now + schedule.round_duration)
             if test:
                 self._step(test, self.rollout)
-        if (peer := exchange_partner(me, self.agents, self.turn, self.turns)) != me and self.limits.gossip:
-            text = GossipMessage(*test.key, self.turn, test.mix).encode() if test else ""
-            servers = self.shared_health.build_message(self.turn, MESSAGE - 1 - len(text))
+        if (peer := schedule.partner(turn)) != schedule.agent and self.limits.gossip:
+            text = GossipMessage(*test.key, turn, test.mix).encode() if test else ""
+            servers = self.shared_health.build_message(turn, MESSAGE - 1 - len(text))
             self.actions.append(api.SendGossip(peer, f"{text} {servers}"))
         if test:
             self._cast(test, self.rollout)
@@ -652,16 +647,16 @@
         # Danger: an agent that met all its partners, most of them cut off, has no more behind its numbers.
         gone = test.turns - test.meets
         test.steps, test.missed, test.meets, test.turns = test.steps + 1, max(gone, test.mix[11]), 0, 0
-        test.met = self.turns - test.missed
+        test.met = self.schedule.exchanges - test.missed
         test.score, test.base, test.timed = test.mix[:3], test.mix[4:6], test.mix[6:10]
         test.count, test.carried, pool = test.mix[3], test.mix[10], self._pool(test)
         tried, poor = test.count * pool, test.mix[12] * pool
         alone = self.shared_health.outlier_evidence(tried, poor, LEAST_POOLED) / pool
         test.score[0] -= alone
         # Danger: held against a p0 of a moment ago, the onset of a shared slowdown speaks against the trial.
-        fade = math.exp(-self.turns * self.tick / LATE_MEMORY)
+        fade = math.exp(-self.schedule.round_duration / LATE_MEMORY)
         test.recent = [old * fade + new for old, new in zip(test.recent, test.timed)]
-        most = LATE_MOST * self.tick / TICK  # of the way to 'back'
+        most = LATE_MOST * self.schedule.period / TICK  # of the way to 'back'
         bands, p0, margin = self._bands(test), self._p0_late(test), LATE_MARGIN
         if p0 is not None and test.key[1] == 0 and self._short():
             self.calm = p0
@@ -669,7 +664,7 @@
         # Then calmer times serve as p0, for all servers; only lateness that outlasts most others tells.
         if p0 is None and self.calm and test.key[1]:
             p0, margin = min(self.calm, 0.9 - LAST_MARGIN), LAST_MARGIN
-            most = self.turns * self.tick / LAST_TIME
+            most = self.schedule.round_duration / LAST_TIME
         if p0 is not None:
             good, bad = (log_likelihood_ratio(late, p0, margin) for late in (False, True))
             timed, tardy = test.timed[2:] if margin == LATE_MARGIN else (
@@ -687,8 +682,8 @@
         base = (number * kept + fresh for number, fresh in zip(test.base, test.fresh))
         first, *more = (score + fresh for score, fresh in zip(test.score, test.innovation))
         poor = test.mix[12] + test.failures
-        test.mix = [first + alone, *more, test.count + test.outcomes, *base, *test.fresh[2:], self.carried,
-                    gone, poor]
+        count, carried = test.count + test.outcomes, self.throughput.peak_per_server
+        test.mix = [first + alone, *more, count, *base, *test.fresh[2:], carried, gone, poor]
         test.innovation, test.outcomes, test.failures, test.fresh = [0.0] * 3, 0, 0, [0.0] * 6
 
     def _decide(self, test: SequentialTest, rollout: api.RolloutSettings) -> None:
--- a/frostfall/state.py
+++ b/frostfall/state.py
@@ -8,6 +8,7 @@
 
 from frostfall import interface as api
 from frostfall.interface import Outcome, Verdict
+from frostfall.mechanisms.backoff import ExponentialBackoff
 
 
 @dataclass(slots=True)
@@ -81,6 +82,7 @@
     """A server as this agent sees it; a new start or build makes a new one."""
 
     info: api.Server
+    ejection: ExponentialBackoff  # pauses after it was unreachable
     rank: float = 0.0  # its place in this agent's own order of servers
     in_flight: dict[tuple[str, int], int] = field(default_factory=dict)  # attempts out, by send time
     others_in_flight: float = 0.0  # what the other agents have there, by its reports
@@ -89,7 +91,6 @@
     error_rate: float = 0.0  # recent share of errors
     learned_at: int = 0  # when the last outcome told of these
     ejected_until: int = 0
-    ejection_pause: int = 0  # the length of the last pause
     heard_at: int = 0
     checked_at: int = 0
     warm_up_credit: float = 0.0  # sends that the cold budget allowed when it was last reckoned
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from frostfall.mixing import exchange_partner, round_length
+from frostfall.mechanisms.mixing import exchange_partner, round_length
 from frostfall.shared_health.push_sum import (
     HEADER,
     PLAIN_ENTRY,
--- /dev/null
+++ b/tests/test_policy_mechanisms.py
@@ -0,0 +1,176 @@
+"""The building blocks of the policy, each by itself: windows, buckets, means, choices, schedules."""
+
+from __future__ import annotations
+
+import math
+import random
+from collections import Counter
+
+import pytest
+
+from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.mechanisms.exposure_log import ExposureCounts, ExposureLog
+from frostfall.mechanisms.mixing import ExchangeSchedule
+from frostfall.mechanisms.poisson import safe_utilization
+from frostfall.mechanisms.service_times import ServiceTimes
+from frostfall.mechanisms.sliding_window import SlidingWindow
+from frostfall.mechanisms.sprt import Band, Hypothesis, smoothed_share
+from frostfall.mechanisms.throughput import Throughput
+from frostfall.mechanisms.token_bucket import TokenBucket
+from frostfall.mechanisms.watch_schedule import WatchParameters, WatchSchedule
+from frostfall.mechanisms.weighted_choice import choose_by_cost
+from tests.support import S
+
+# ---- time and counts ------------------------------------------------------------------------------
+
+
+def test_a_sliding_window_counts_events_until_they_are_older_than_its_span() -> None:
+    window = SlidingWindow(10)
+    for time in (0, 5, 5):
+        window.record(time)
+    assert window.count(10) == 3
+    assert window.count(11) == 2
+    window.remove(5)
+    window.remove(7)  # none of this time
+    assert window.count(11) == 1
+    assert window.times == (5,)
+    assert window.count(16) == 0
+
+
+def test_a_token_bucket_saves_up_to_its_capacity() -> None:
+    bucket = TokenBucket(capacity=2.0, tokens=1.5)
+    bucket.earn(0.25)
+    assert bucket.tokens == 1.75
+    bucket.earn(5.0)
+    assert bucket.tokens == 2.0
+    bucket.spend(0.5)
+    assert bucket.tokens == 1.5
+
+
+def test_a_back_off_doubles_up_to_its_longest_delay_until_it_is_reset() -> None:
+    backoff = ExponentialBackoff(first=3, longest=10)
+    assert [backoff.next() for _ in range(4)] == [3, 6, 10, 10]
+    backoff.reset()
+    assert backoff.next() == 3
+
+
+def test_throughput_decays_and_remembers_the_most_that_a_server_carried() -> None:
+    throughput = Throughput(memory=2 * S, peak_memory=20 * S)
+    throughput.record(0, 2, served=True)
+    throughput.record(0, 2, served=False)
+    assert throughput.rate == 0.5  # 1 in 2 s
+    assert throughput.update(2 * S, 2) == pytest.approx(0.5 / math.e)
+    assert throughput.peak_per_server == pytest.approx(0.25 * math.exp(-0.1))
+    assert throughput.update(22 * S, 0) == pytest.approx(0.5 * math.exp(-11))
+    assert throughput.peak_per_server == pytest.approx(0.25 * math.exp(-1.1))
+
+
+def test_response_times_are_expected_by_class_and_by_announced_work() -> None:
+    times = ServiceTimes(weight=0.1, smallest_scale=0.5, largest_scale=2.0)
+    assert times.expected("read", None, default=70.0) == 70.0
+    for elapsed in (100, 200, 300):
+        times.record("read", elapsed)
+    times.record("write", 600)
+    assert times.means == {"read": pytest.approx(200), "write": 600}  # first values count alike
+    assert times.ratio("write") == pytest.approx(600 / times.overall_mean)
+    assert times.ratio("unseen") == 1
+    times.record_hint("read", 10)
+    for hint, scale in ((10, 1.0), (15, 1.5), (90, 2.0), (1, 0.5)):
+        assert times.expected("read", hint, default=70.0) == pytest.approx(200 * scale)
+    times.record_hint("read", 20)
+    assert times.hint_means["read"] == pytest.approx(11)
+    times.record_hint("read", None)
+    assert times.hint_means["read"] == pytest.approx(11)
+
+
+def test_exposure_is_counted_by_group_and_build_and_restarts_at_its_time() -> None:
+    log = ExposureLog(10)
+    for now in (0, 4):
+        log.record_taken(now, "a")
+        log.record_sent(now, 2, "a")
+    log.record_taken(4, "b")
+    assert log.counts(10, 2, "a") == ExposureCounts(taken=2, sent=2)
+    assert log.counts(11, 2, "a") == ExposureCounts(taken=1, sent=1)
+    assert log.counts(11, 3, "b") == ExposureCounts(taken=1, sent=0)
+    log.withdraw_sent(4, 2, "a")
+    log.restart_at(13)
+    assert log.counts(12, 2, "a") == ExposureCounts(taken=1, sent=0)
+    log.record_taken(12, "a")
+    assert log.counts(13, 2, "a") == ExposureCounts(taken=0, sent=0)  # taken before the restart
+    log.record_taken(13, "a")
+    assert log.counts(14, 2, "a").taken == 1  # a restart happens once
+    log.forget(2)
+    assert log.builds() == {3}
+
+
+WATCH = WatchParameters(retry_first=10, retry_longest=30, retry_jitter=5, spacing=100, start_part=5)
+
+
+@pytest.mark.parametrize(("agents", "within"), [(1, 100 // 5), (3, 300 // 5), (1000, 1000 // 5)])
+def test_first_watches_are_spread_over_a_part_of_the_renewal(agents: int, within: int) -> None:
+    waits = Counter[int]()
+    for seed in range(400):
+        watch = WatchSchedule(WATCH, agents=agents, renewal=1000, source=random.Random(seed))
+        watch.start(50)
+        waits[next(wait for wait in range(within + 2) if watch.is_due(50 + wait))] += 1
+    assert 0 <= min(waits) < 0.1 * within and 0.9 * within < max(waits) <= within
+
+
+def test_a_watch_is_renewed_in_time_and_tried_again_ever_more_slowly() -> None:
+    watch = WatchSchedule(WATCH, agents=3, renewal=1000, source=random.Random(1))
+    watch.renew(50)
+    assert not watch.is_due(1049) and watch.is_due(1050)
+    for delay in (10, 20, 30, 30):
+        watch.failed(2000)
+        assert not watch.is_due(2000 + delay - 1) and watch.is_due(2000 + delay + 4)
+    watch.succeeded()
+    watch.failed(2000)
+    assert watch.is_due(2014)
+
+
+# ---- chance ---------------------------------------------------------------------------------------
+
+
+def test_cheap_options_are_chosen_more_often_and_ever_more_so_with_sharpness() -> None:
+    draw = random.Random(5)
+    for power in (0.0, 1.0, 4.0):
+        chosen = Counter(choose_by_cost(draw, "ab", [1.0, 2.0], [power, power]) for _ in range(4000))
+        assert chosen["b"] / 4000 == pytest.approx(1 / (1 + 2**power), abs=0.03)
+
+
+@pytest.mark.parametrize("budget", [6.0, 40.0, 900.0])
+def test_a_poisson_mean_within_the_safe_part_stays_so_many_deviations_below_the_budget(budget: float) -> None:
+    mean = budget * safe_utilization(budget, 2.0)
+    assert 0 < mean < budget
+    assert mean + 2.0 * math.sqrt(2 * mean) == pytest.approx(budget)
+    assert safe_utilization(1e-9, 2.0) == 0
+
+
+# ---- the sequential test --------------------------------------------------------------------------
+
+
+def test_evidence_of_an_outcome_and_its_mean() -> None:
+    hypothesis = Hypothesis(p0=0.1, margin=0.1)
+    good, bad = hypothesis.evidence(False), hypothesis.evidence(True)
+    assert good == pytest.approx(math.log(0.9 / 0.8))
+    assert bad == pytest.approx(-math.log(2))
+    assert hypothesis.divergence == pytest.approx(-(0.2 * bad + 0.8 * good))
+    assert smoothed_share(3, 10, prior=0.5, weight=10) == pytest.approx(0.4)
+
+
+def test_a_score_stands_in_its_band_between_minus_one_and_one() -> None:
+    band = Band(upper=4.0, lower=-2.0)
+    assert [band.position(score) for score in (-2.0, -1.0, 0.0, 1.0, 4.0)] == [-1, -0.5, 0, 0.25, 1]
+
+
+def test_a_schedule_follows_the_clock_that_all_agents_share() -> None:
+    schedules = [ExchangeSchedule(agent, 5, 100) for agent in range(5)]
+    for schedule in schedules:
+        assert schedule.advance(1_230) == -1
+        assert schedule.advance(1_300) == 12
+        assert schedule.turn == 13
+        assert schedule.round_duration == 100 * schedule.exchanges
+        assert schedule.begins_round == (13 % schedule.exchanges == 0)
+        partner = schedules[schedule.partner(13)]
+        assert partner.partner(13) == schedule.agent
+        assert schedule.is_unpaired(13) == (partner is schedule)
