--- /dev/null
+++ b/frostfall/mechanisms/server_list.py
@@ -0,0 +1,59 @@
+"""The servers that discovery lists, as one agent sees them."""
+
+from __future__ import annotations
+
+import random
+
+from frostfall import interface as api
+from frostfall.interface import Availability, Microseconds, ServerListKind
+from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.records import ServerState
+from frostfall.shared_health.server_health import ServerIncarnation
+
+
+class ServerList:
+    """All listed servers by id, and those that are up in this agent's own random order."""
+
+    __slots__ = ("_ejection", "_random", "available", "by_id")
+
+    def __init__(self, source: random.Random, *, ejection: ExponentialBackoff) -> None:
+        """Start without servers; each gets its own copy of the back-off of ejections."""
+        self._random = source
+        self._ejection = ejection
+        self.by_id: dict[int, ServerState] = {}
+        self.available: list[ServerState] = []
+
+    def update(self, now: Microseconds, kind: ServerListKind, entries: tuple[api.Server, ...]) -> list[int]:
+        """Take over a list or its changes; the ids of servers that left or that are new, or newly started."""
+        if kind is not ServerListKind.DELTA:
+            listed = {entry.id for entry in entries}
+            self.by_id = {id: server for id, server in self.by_id.items() if id in listed}
+        changed = [entry.id for entry in entries if self._update_entry(now, entry)]
+        up = (server for server in self.by_id.values() if server.info.availability is Availability.UP)
+        self.available = sorted(up, key=lambda server: server.rank)
+        return changed
+
+    def _update_entry(self, now: Microseconds, entry: api.Server) -> bool:
+        known = self.by_id.get(entry.id)
+        if entry.availability is Availability.REMOVED:
+            self.by_id.pop(entry.id, None)
+            return True
+        if known and (known.info.started_at, known.info.build) == (entry.started_at, entry.build):
+            known.info = entry
+            return False
+        # Agents together push a cold server over. By a random start, parts of a send add up.
+        rank, credit = self._random.random(), self._random.random()
+        ejection = ExponentialBackoff(self._ejection.first, self._ejection.longest)
+        self.by_id[entry.id] = ServerState(
+            entry, ejection, rank, warm_up_credit=credit, credit_updated_at=now
+        )
+        return True
+
+    @property
+    def lowest_build(self) -> int:
+        """The lowest build of the listed servers, of which there must be some."""
+        return min(server.info.build for server in self.by_id.values())
+
+    def incarnations(self) -> set[ServerIncarnation]:
+        """All listed servers with their starts."""
+        return {server.incarnation for server in self.by_id.values()}
--- a/frostfall/policy/engine.py
+++ b/frostfall/policy/engine.py
@@ -4,25 +4,26 @@
 
 import math
 import random
-from collections import defaultdict
 from typing import Any
 from zlib import crc32
 
 from frostfall import interface as api
 from frostfall.interface import Availability, Idempotency, Outcome, RolloutPhase, Verdict, VoteReply
-from frostfall.mechanisms.backoff import ExponentialBackoff
 from frostfall.mechanisms.exposure_log import ExposureLog
+from frostfall.mechanisms.fleet_statistics import FleetStatistics
 from frostfall.mechanisms.mixing import ExchangeSchedule
 from frostfall.mechanisms.poisson import safe_utilization
-from frostfall.mechanisms.service_times import ServiceTimes
+from frostfall.mechanisms.server_list import ServerList
 from frostfall.mechanisms.sprt import decision_threshold, kl_divergence, log_likelihood_ratio
-from frostfall.mechanisms.throughput import Throughput
 from frostfall.mechanisms.token_bucket import TokenBucket
-from frostfall.mechanisms.watch_schedule import WatchParameters, WatchSchedule
+from frostfall.mechanisms.watch_schedule import WatchSchedule
 from frostfall.mechanisms.weighted_choice import choose_by_cost
+from frostfall.policy.learning import STATISTICS, UNREACHABLE_EJECTION, Learning
+from frostfall.policy.server_watch import WATCH
+from frostfall.records import Attempt, PendingRequest, ServerState, unknown_class
 from frostfall.routing.outlier_ejection import OutlierEjections
 from frostfall.shared_health.server_health import SharedHealth
-from frostfall.state import Attempt, GossipMessage, PendingRequest, PendingVote, SequentialTest, ServerState
+from frostfall.state import GossipMessage, PendingVote, SequentialTest
 
 TICK, HOLD = 100_000, 50_000  # in us: one exchange, over a message's way; how often a held request is tried
 TICKS, HOLDS = "*tick", "*hold"  # tokens of our own timers: no request may be named so
@@ -41,17 +42,11 @@
 SAMPLE, KEEN = 6, 4.0  # servers a request chooses among, in any fleet; with odds of cost to minus this power
 SEARCH = 30  # servers looked at beyond them, where the cold budget leaves none
 EAGER, EACH = 0.25, 1.5  # doublings of load by which a trial is preferred; requests a server has room for
-LEARN_ERRORS, LEARN_SLOW, LEARN_NORM, LEARN_MEAN = 0.15, 0.07, 0.05, 0.03  # weight of one outcome in a mean
-FORGET, STALE = 3_000_000, 500_000  # what is known of a server's speed, or its load, fades to the fleet's
-RATE_MEMORY, TRUST = 2_000_000, 1_000_000  # served is counted over so long; how long odds lean on a report
-CARRY_MEMORY = 20_000_000  # what a server carried at most fades so slowly, as a fleet warms up
+STALE, TRUST = 500_000, 1_000_000  # what is known of a load fades to the fleet's; how odds lean on a report
 RETRY_SHARE, RETRY_DEPTH = 0.15, 6.0  # further attempts per request taken, and how many may be saved up
 ANSWER_EARLY, OVERDUE = 10_000, 3.0  # before the deadline; usual times after which an open attempt tells
 WINDOW_PART, WINDOW_LEAST = 0.8, 3.0  # of a key's window: cut then at the latest; usual times it has to hold
-SHUN_FIRST, SHUN_MOST = 300_000, 4_000_000  # us that an unreachable server is left alone, doubling
 PROBE_SHARE, PROBE_DEPTH = 0.5, 2.0  # probes per request taken, and how many may be saved up
-WATCH = WatchParameters(retry_first=300_000, retry_longest=4_000_000, retry_jitter=100_000, spacing=200_000,
-                        start_part=5)  # us
 SHED_UP, SHED_DOWN, SHED_MOST = 0.03, 0.01, 0.6  # part shed: up by each late answer, down by each timely one
 SHED_PACE = 40.0  # answers a second from which the steps are these; up to three times as large below
 FILL, IDLE_FILL, IDLE_QUEUE, SPARE = 0.6, 0.9, 0.5, 0.3  # of the aim; if so few wait; kept for the worthiest
@@ -67,16 +62,15 @@
         self.probing = settings.load_by_health_check and settings.limits.health_checks
         self.request_classes = {kind.name: kind for kind in settings.classes}
         self.now, self.actions = 0, list[api.Action]()
-        self.servers, self.requests = dict[int, ServerState](), dict[str, PendingRequest]()
+        self.server_list = ServerList(self.random, ejection=UNREACHABLE_EJECTION)
+        self.statistics = FleetStatistics(STATISTICS, self.server_list)
+        self.requests = dict[str, PendingRequest]()
         self.waiting: dict[str, PendingRequest] = {}  # requests with no server to go to yet, in order
-        self.throughput = Throughput(memory=RATE_MEMORY, peak_memory=CARRY_MEMORY)
-        self.fleet, self.trials = list[ServerState](), list[ServerState]()  # servers up; on trial
-        self.norms = defaultdict[int, list[float]](lambda: [0.0, 1.0])  # by build: mean errors and slowness
+        self.trials = list[ServerState]()
         self.shed, self.best = 0.0, max((kind.priority_weight for kind in settings.classes), default=1.0)
         self.retry_budget = TokenBucket(capacity=RETRY_DEPTH, tokens=RETRY_DEPTH)
         self.health_checks = TokenBucket(capacity=PROBE_DEPTH, tokens=0.0)
-        self.times = ServiceTimes(weight=LEARN_MEAN, smallest_scale=0.3, largest_scale=3.0)
-        self.holding, self.in_flight, self.others, self.queue = False, 0, 0.0, 1.0  # queue: mean at servers
+        self.holding, self.in_flight = False, 0
         renewal = self.rules.watch_renewal_period
         self.watch = WatchSchedule(WATCH, agents=self.agents, renewal=renewal, source=self.random)
         self.rollout_state: api.RolloutState | None = None
@@ -88,6 +82,7 @@
         self.test: SequentialTest | None = None
         self.ballot: PendingVote | None = None
         self.shared_health = SharedHealth(self.agents, self.schedule.exchanges)  # what all agents saw
+        self.learning = Learning(self.statistics, self.shared_health)
         self.ejections = OutlierEjections()  # servers that turned slow in the middle of an answer
         self.handlers: dict[type, Any] = {
             api.RequestArrived: self._arrive, api.AttemptEnded: self._ended, api.TimerFired: self._timer,
@@ -96,6 +91,11 @@
             api.StreamStarted: self._marked, api.ClientDisconnected: self._marked,
             api.ServerDegraded: self._slowed}  # tallies only sample
 
+    @property
+    def servers(self) -> dict[int, ServerState]:
+        """All listed servers by id."""
+        return self.server_list.by_id
+
     def start(self, now: int) -> list[api.Action]:
         """The first actions of a new instance."""
         self.now, self.actions = now, []
@@ -126,7 +126,7 @@
                 self._close(request)
 
     def _slowed(self, event: api.ServerDegraded) -> None:
-        self.ejections.record_degraded(self.now, event.server, len(self.fleet))
+        self.ejections.record_degraded(self.now, event.server, len(self.server_list.available))
 
     def _listed(self, event: api.ServerListUpdated) -> None:
         if event.kind is api.ServerListKind.FAILED:
@@ -135,59 +135,29 @@
         if event.kind is not api.ServerListKind.CACHED:  # which nobody was asked for
             self.watch.renew(self.now)
         self.watch.succeeded()
-        listed = {info.id for info in event.servers}
-        self.servers = {name: s for name, s in self.servers.items() if name in listed or (
-            event.kind is api.ServerListKind.DELTA)}
-        for info in event.servers:
-            old = self.servers.get(info.id)
-            if info.availability is Availability.REMOVED:
-                self.servers.pop(info.id, None)
-                self.ejections.forget(info.id)
-            elif old and (old.info.started_at, old.info.build) == (info.started_at, info.build):
-                old.info = info
-            else:
-                # Danger: agents together push a cold server over. By a chance start, parts of a send add up.
-                rank, credit = self.random.random(), self.random.random()
-                self.ejections.forget(info.id)
-                ejection = ExponentialBackoff(SHUN_FIRST, SHUN_MOST)
-                state = ServerState(info, ejection, rank, warm_up_credit=credit, credit_updated_at=self.now)
-                self.servers[info.id] = state
-        up = (s for s in self.servers.values() if s.info.availability is Availability.UP)
-        self.fleet = sorted(up, key=lambda s: s.rank)
+        for changed in self.server_list.update(self.now, event.kind, event.servers):
+            self.ejections.forget(changed)
         self._weigh()
 
     def _weigh(self) -> None:
-        self.trials = [s for s in self.fleet if self.test and s.info.build == self.test.key[0]]
+        fleet = self.server_list.available
+        self.trials = [s for s in fleet if self.test and s.info.build == self.test.key[0]]
         trials = [s.incarnation for s in self.trials]
-        self.shared_health.update_fleet({s.incarnation for s in self.servers.values()}, trials)
+        self.shared_health.update_fleet(self.server_list.incarnations(), trials)
         on_top = len(self.trials) if self.rollout and self.rollout.keeps_old_servers else 0
-        self.eager = EAGER * (1 + 8 * on_top / max(len(self.fleet), 1))
-
-    def _age(self, server: ServerState) -> int:
-        return self.now - server.info.started_at if server.info.started_at else 1 << 60
-
-    def _capacity(self, server: ServerState) -> float:
-        """The least share of its full capacity that a server can have by now."""
-        warm = min(1.0, max(0.0, self._age(server) / max(self.rules.warm_up_duration, 1)))
-        return self.rules.warm_up_initial_share + (1 - self.rules.warm_up_initial_share) * warm
-
-    def _served(self) -> float:  # requests per second of late
-        return self.throughput.update(self.now, len(self.fleet))
+        self.eager = EAGER * (1 + 8 * on_top / max(len(fleet), 1))
 
     def _credit(self, server: ServerState) -> float:
         # Our part of what a server carries (served: more may be asked than can be done), times its least
         # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
         # Danger: a fleet all cold serves less, and would be allowed less still. What was carried counts.
-        self._served()
-        carried = self.throughput.peak_per_server
+        self.statistics.served(self.now)
+        carried = self.statistics.throughput.peak_per_server
         everyone = max(carried, self.test.carried * self._pool(self.test) if self.test else 0.0)
-        most = self.rules.overload_multiple * self._capacity(server)
+        most = self.rules.overload_multiple * server.warmth(self.now, self.rules)
         budget = max(most * everyone * self.rules.overload_window / 1e6, 1e-9)
         earned = max(most * carried * safe_utilization(budget, LUCK), COLD_LEAST / self.agents)
-        span = min(self.now - server.credit_updated_at, self.rules.overload_window) / 1e6
-        server.credit_updated_at = self.now
-        server.warm_up_credit = min(server.warm_up_credit + earned * span, 1.0)
-        return server.warm_up_credit
+        return server.accrue_credit(self.now, earned, self.rules.overload_window)
 
     # ---- guards: every send and refusal passes here, whatever policy chose it ----------------------------
 
@@ -205,18 +175,20 @@
         return may
 
     def _may_send(self, request: PendingRequest, server: ServerState, writing: Attempt | None = None) -> bool:
-        kind, tries, info = request.kind, request.attempts, server.info
+        kind, tries, info = request.request_class, request.attempts, server.info
         if writing:
             tries = [attempt for attempt in tries if attempt is not writing]
-        if (request.done or self.now >= request.arrival.deadline or len(tries) >= self.limits.max_attempts
-                or info.availability is not Availability.UP or self.servers.get(info.id) is not server):
+        if request.done or self.now >= request.arrival.deadline or len(tries) >= self.limits.max_attempts:
+            return False
+        if info.availability is not Availability.UP or self.server_list.by_id.get(info.id) is not server:
             return False
         parallel = self.limits.parallel_attempts and kind.idempotent
         for earlier in tries:
             if (earlier.outcome is None and not parallel) or (
                     earlier.may_have_run and not self._repeatable(kind, earlier, info)):
                 return False
-        paid = writing is not None or self._age(server) >= self.rules.warm_up_duration  # of the cold budget
+        warm = server.age(self.now) >= self.rules.warm_up_duration
+        paid = writing is not None or warm  # of the cold budget
         return self._within_exposure(request, info.build) and (paid or self._credit(server) >= 1)
 
     def _repeatable(self, kind: api.RequestClass, earlier: Attempt, target: api.Server) -> bool:
@@ -226,7 +198,8 @@
         return same and self.now - earlier.sent_at < kind.deduplication_window
 
     def _may_refuse(self, request: PendingRequest) -> bool:
-        return request.kind.repeatable_anywhere or not any(each.may_have_run for each in request.attempts)
+        harmless = request.request_class.repeatable_anywhere
+        return harmless or not any(each.may_have_run for each in request.attempts)
 
     def _on_trial(self, build: int) -> bool:
         news = self.rollout_state if self.rollout else None
@@ -235,14 +208,14 @@
     def _within_exposure(self, request: PendingRequest, build: int) -> bool:
         rollout, news = self.rollout, self.rollout_state
         if rollout is None or news is None:  # not told yet what is on trial: only the lowest build cannot be
-            return rollout is None or build == min(s.info.build for s in self.servers.values())
+            return rollout is None or build == self.server_list.lowest_build
         if rollout.forward_only_keys and news.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED) and (
                 build < self.answered_by.get(request.arrival.key or "", 0)):
             return False
         if not self._on_trial(build):
             return True
         stage, cap = (news.stage, news.cap) if build == news.build else (0, rollout.stage_caps[0])
-        if cap <= 0 or (stage < rollout.idempotent_only_stages and not request.kind.idempotent):
+        if cap <= 0 or (stage < rollout.idempotent_only_stages and not request.request_class.idempotent):
             return False
         # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
         counts = self.exposure_log.counts(self.now, build, request.exposure_group)
@@ -254,7 +227,7 @@
         if not self._may_send(request, server):
             raise AssertionError(f"policy chose to send {name} where the guards forbid it")
         self.exposure_log.record_sent(self.now, server.info.build, request.exposure_group)
-        server.warm_up_credit = max(server.warm_up_credit - 1, 0.0)
+        server.spend_credit()
         self.in_flight += 1
         request.attempts.append(Attempt(server, self.now, max(1.0, self._load(server) / mean)))
         server.in_flight[name, len(request.attempts) - 1] = self.now
@@ -264,7 +237,7 @@
         if request.done or request.streaming:
             return
         self._cancel(request)
-        name, objective = request.arrival.request, request.kind.latency_objective
+        name, objective = request.arrival.request, request.request_class.latency_objective
         wait = min(self.limits.max_retry_after, objective // 2) * self.limits.retry_after
         reject = api.RejectRequest(name, wait)
         self.actions.append(reject if self._may_refuse(request) else api.FailRequest(name))
@@ -278,20 +251,18 @@
     def _close(self, request: PendingRequest) -> None:
         request.done = True
         self.waiting.pop(request.arrival.request, None)
-        if all(attempt.outcome is not None for attempt in request.attempts):
+        if request.attempts_ended:
             self.requests.pop(request.arrival.request, None)
 
     def _arrive(self, event: api.RequestArrived) -> None:
         left = event.deadline - self.now  # of a class that the settings do not name, the least is promised
-        name, effect = event.class_name, Idempotency.NON_IDEMPOTENT
-        unknown = api.RequestClass(name, effect, api.DeduplicationScope.ALL, 0, left, left, 0.0)
-        kind = self.request_classes.get(name, unknown)
+        kind = self.request_classes.get(event.class_name) or unknown_class(event.class_name, left)
         group = kind.name if self.rollout and self.rollout.exposure_per_class else ""
         request = self.requests[event.request] = PendingRequest(event, kind, self.now, group)
         self.retry_budget.earn(RETRY_SHARE)
         self.exposure_log.record_taken(self.now, group)
         self.health_checks.earn(PROBE_SHARE)
-        self.times.record_hint(kind.name, event.service_time_hint)
+        self.statistics.times.record_hint(kind.name, event.service_time_hint)
         self.actions.append(api.SetTimer(max(left - ANSWER_EARLY, 0), event.request))
         # Danger: an agent with little open cannot see by its count that all is overloaded; late answers tell.
         shed = self.shed ** (2 * kind.priority_weight / max(self.best, 1e-9)) if self.shed else 0.0
@@ -300,27 +271,27 @@
     def _room(self, request: PendingRequest) -> bool:
         # Danger: when more is asked than can be served, all come late. So no more is open than is served in
         # what answers may take (Little's law), by a class's aim and own times; the least worthy wait first.
-        kind, fill = request.kind, IDLE_FILL if self.queue < IDLE_QUEUE else FILL
-        part = max(self.times.ratio(kind.name), 0.3)
-        little = self._served() * fill * kind.latency_objective / part / 1e6 + 2
-        fit = max(little, len(self.servers) / 2,
-                  len(self.fleet) * (EACH - self.others))  # servers that hold so little, by their reports
+        kind, fill = request.request_class, IDLE_FILL if self.statistics.queue_length < IDLE_QUEUE else FILL
+        part = max(self.statistics.times.ratio(kind.name), 0.3)
+        little = self.statistics.served(self.now) * fill * kind.latency_objective / part / 1e6 + 2
+        light = len(self.server_list.available) * (EACH - self.statistics.others_in_flight)  # by reports
+        fit = max(little, len(self.server_list.by_id) / 2, light)
         return self.in_flight < fit * (1 - SPARE + SPARE * kind.priority_weight / max(self.best, 1e-9))
 
     def _place(self, request: PendingRequest) -> None:
         # Danger: hundreds of agents that connect to every server fill its table, and learn nothing of any by
         # a request now and then. So each keeps to as many as its traffic keeps connected, in random order.
-        worth = int(self._served() * self.limits.connection_idle_timeout / 1e6 / NEAR_USES)
+        worth = int(self.statistics.served(self.now) * self.limits.connection_idle_timeout / 1e6 / NEAR_USES)
         room, now, may = self._room(request), self.now, self._may_send
-        fleet, whole = self.fleet, not self.ejections
+        fleet, whole = self.server_list.available, not self.ejections
         if not whole:  # Danger: what drips looks idle and fails nothing for long
-            harmless, let = request.kind.retryable, self.ejections.admits
+            harmless, let = request.request_class.retryable, self.ejections.admits
             fleet = [s for s in fleet if let(now, s.info.id, len(s.in_flight), harmless)] or fleet
         near = [s for s in fleet if (room or self.probing) and s.ejected_until <= now][:max(NEAR, worth)]
         some = near if len(near) <= SAMPLE else self.random.sample(near, SAMPLE)
         # Danger: a build's first machines are near few agents. What their cold budget leaves is used at once.
         young = self.rules.warm_up_duration
-        urgent = [s for s in self.trials if self._age(s) < young and (whole or s in fleet)
+        urgent = [s for s in self.trials if s.age(now) < young and (whole or s in fleet)
                   ] if self._short() else []
         options = [s for s in (*urgent, *some) if room and s.ejected_until <= now and may(request, s)]
         if some and room and not options:
@@ -336,8 +307,8 @@
             informed, mean = (sum(keen) / len(keen) - 1) / (KEEN - 1), sum(map(self._load, some)) / len(some)
             costs = [self._cost(request, *each, informed) for each in zip(preferred, loads, keen)]
             self._send(request, choose_by_cost(self.random, preferred, costs, keen), mean)
-        elif now - request.arrived_at < request.kind.latency_objective // 3 and (
-                len(self.waiting) < NEAR + self._served() * request.kind.latency_objective / 3e6):
+        elif now - request.arrived_at < (objective := request.request_class.latency_objective) // 3 and (
+                len(self.waiting) < NEAR + self.statistics.served(now) * objective / 3e6):
             self.waiting[request.arrival.request] = request
             if not self.holding:
                 self.holding = True
@@ -360,36 +331,24 @@
         # Danger: if a low score stopped the traffic before a vote has its outcomes, there would be no vote.
         if news.phase is not RolloutPhase.TRIAL or (self.test and self.test.lean <= -1 and not self._short()):
             return False
-        return request.kind.idempotent or (build == news.build and news.stage > 0)
+        return request.request_class.idempotent or (build == news.build and news.stage > 0)
 
     def _load(self, server: ServerState) -> float:
-        fresh = math.exp((server.reported_at - self.now) / STALE)
-        others = self.others + (server.others_in_flight - self.others) * fresh
-        return (1.0 + len(server.in_flight) + others) / max(server.info.size, 0.1)
+        return server.load(self.now, self.statistics.others_in_flight, STALE)
 
     def _keen(self, server: ServerState) -> float:  # power of a server's cost: full after a report, then 1
         return 1.0 + (KEEN - 1) * math.exp((server.reported_at - self.now) / TRUST)
 
-    def _faded(self, server: ServerState) -> tuple[float, float]:  # errors, slowness
-        # Danger: a server that looks bad gets nothing, so nothing corrects the look.
-        kept = math.exp((server.learned_at - self.now) / FORGET)
-        return server.error_rate * kept, 1 + (server.slowness - 1) * kept
-
     def _cost(self, request: PendingRequest, server: ServerState, cost: float, keen: float,
               informed: float) -> float:
-        info = server.info  # its cost begins with its load
-        # Danger: shunning a failing trial build would end the evidence on it, and shunning only the failing
-        # machines of the earlier one would flatter p0. So a machine is held against others of its build.
-        norm, (errors, slow) = self.norms[info.build], self._faded(server)  # fades by itself: counts in full
-        # Danger: an agent that asks a server now and then forgets its errors before it meets the next.
-        errors = min(max(max(errors, server.shared_error_rate) - norm[0], 0.0), 0.9)
-        cost *= math.pow(slow / norm[1] / (1.0 - errors) ** 2, KEEN / keen)
+        info = server.info  # its cost begins with its load; the penalty fades by itself, so counts in full
+        cost *= math.pow(self.statistics.penalty(self.now, server, 0.9), KEEN / keen)
         trial = self.test if self.test and info.build == self.test.key[0] else None
         cost *= 2.0 ** -(self.eager * informed * (1 + min(trial.lean, 1.0))) if trial else 1.0
-        cost /= 1.0 if trial and self._short() else self._capacity(server)
-        if server.in_flight and self.times.overall_mean:
+        cost /= 1.0 if trial and self._short() else server.warmth(self.now, self.rules)
+        if server.in_flight and (usual := self.statistics.times.overall_mean):
             # Danger: a lost, stuck or slow server looks idle to its list.
-            overdue = (self.now - min(server.in_flight.values())) / self.times.overall_mean / OVERDUE
+            overdue = server.oldest_attempt_age(self.now) / usual / OVERDUE
             cost *= min(max(overdue, 1.0), 10.0)
         cost *= 1 + 5 * self.settings.prices.cross_zone * (info.zone != self.settings.zone)
         if request.arrival.key and self.rollout and self.rollout.key_affinity:
@@ -397,8 +356,8 @@
         return cost
 
     def _timeout(self, request: PendingRequest) -> int:
-        kind, left = request.kind, request.arrival.deadline - self.now
-        mean = self.times.means.get(kind.name, kind.deadline)
+        kind, left = request.request_class, request.arrival.deadline - self.now
+        mean = self.statistics.times.means.get(kind.name, kind.deadline)
         cut = int(max(6 * mean, 0.7 * kind.latency_objective))
         if kind.idempotency is Idempotency.KEYED:
             # Danger: with its window over, a keyed request may go nowhere else. So it is cut while a repeat
@@ -417,7 +376,8 @@
         self.in_flight -= 1
         if self.ejections and event.outcome is Outcome.SUCCESS:
             self.ejections.record_success(self.now, event.server)
-        self._learn(request, attempt, event)
+        self.learning.record_outcome(self.now, request, attempt, event)
+        self._shed_by(request, attempt, event)
         self._judge(request, attempt, event)
         if event.final or request.done:
             build, one_way = attempt.server.info.build, self.rollout and self.rollout.forward_only_keys
@@ -425,63 +385,30 @@
                 self.answered_by[key] = build
             self._cancel(request)
             self._close(request)
-        elif all(earlier.outcome is not None for earlier in request.attempts):
+        elif request.attempts_ended:
             self._again(request, event.outcome)
 
     def _again(self, request: PendingRequest, outcome: Outcome) -> None:
-        allowed = outcome.never_ran or request.kind.idempotency is not Idempotency.NON_IDEMPOTENT
+        allowed = outcome.never_ran or request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if not allowed or request.arrival.deadline - self.now < ANSWER_EARLY or self.retry_budget.tokens < 1:
             return self._give_up(request)
         self.retry_budget.spend(0.2 if outcome in (Outcome.UNREACHABLE, Outcome.NEVER_SENT) else 1.0)
         return self._place(request)
 
-    def _learn(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
-        server = attempt.server
-        silent = event.outcome is Outcome.UNREACHABLE or (
-            event.outcome is Outcome.TIMED_OUT and server.heard_at <= attempt.sent_at)
-        if silent or event.outcome in (Outcome.SUCCESS, Outcome.ERROR):  # who is late tells of load
-            failed = event.outcome is Outcome.ERROR
-            self.shared_health.record_attempt(server.incarnation, server.info.zone, failed, silent)
-        if event.outcome is Outcome.UNREACHABLE:
-            server.ejected_until = self.now + server.ejection.next()
-            return
-        if event.outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED):
-            server.heard_at = self.now
-            server.ejection.reset()
-            server.ejected_until = self.now + SHUN_FIRST * (event.outcome is Outcome.OVERLOADED)
-        norm = self.norms[server.info.build]
-        server.error_rate, server.slowness = self._faded(server)
-        server.learned_at = self.now
-        if event.outcome in (Outcome.SUCCESS, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET):
-            server.error_rate += LEARN_ERRORS * ((event.outcome is not Outcome.SUCCESS) - server.error_rate)
-            norm[0] += LEARN_NORM * (server.error_rate - norm[0])
-        self.throughput.record(self.now, len(self.fleet), served=event.outcome is Outcome.SUCCESS)
+    def _shed_by(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
         if event.outcome in (Outcome.SUCCESS, Outcome.TIMED_OUT):
-            step = SHED_UP if event.elapsed > request.kind.latency_objective else -SHED_DOWN
+            step = SHED_UP if event.elapsed > request.request_class.latency_objective else -SHED_DOWN
             # Danger: with few answers a second, an agent would go on shedding for long. And who waits for a
             # server that is gone waits for no load.
-            step *= min(max(SHED_PACE / max(self.throughput.rate, 1.0), 1.0), 3.0) * (not silent)
+            pace = max(SHED_PACE / max(self.statistics.throughput.rate, 1.0), 1.0)
+            step *= min(pace, 3.0) * (not attempt.was_silent)
             self.shed = min(max(self.shed + step, 0.0), SHED_MOST)
-            times = event.elapsed / max(self._usual(request), 1.0)
-            server.slowness += LEARN_SLOW * (min(max(times, 0.3), 8.0) - server.slowness)
-            norm[1] += LEARN_NORM * (server.slowness - norm[1])
-            self.times.record(request.kind.name, event.elapsed)
-        self._report(server, event.load)
-
-    def _usual(self, request: PendingRequest) -> float:
-        name, hint = request.kind.name, request.arrival.service_time_hint
-        return self.times.expected(name, hint, default=request.kind.latency_objective / 2)
-
-    def _report(self, server: ServerState, load: api.LoadReport | None) -> None:
-        self.queue += LEARN_NORM * (load.queued - self.queue) if load and load.queued is not None else 0.0
-        if load and (held := load.in_flight if load.in_flight is not None else load.queued) is not None:
-            server.others_in_flight, server.reported_at = max(0.0, held - len(server.in_flight)), self.now
-            self.others += LEARN_NORM * (server.others_in_flight - self.others)
 
     def _probed(self, event: api.HealthCheckEnded) -> None:
-        if (server := self.servers.get(event.server)) and event.outcome is Outcome.SUCCESS:
+        server = self.server_list.by_id.get(event.server)
+        if server and event.outcome is Outcome.SUCCESS:
             server.heard_at = self.now
-            self._report(server, event.load)
+            self.statistics.record_load(self.now, server, event.load)
 
     def _news(self, news: api.RolloutState) -> None:
         if news.reply in (VoteReply.NONE, VoteReply.COUNTED):
@@ -513,10 +440,11 @@
         # Danger: where builds follow one another all day, what is kept of each would add up.
         since = self._earlier(build)
         self.answered_by = {key: b for key, b in self.answered_by.items() if b >= build}
-        for old in self.exposure_log.builds():
+        for old in [*self.exposure_log.builds(), *self.statistics.profiles]:
             if old < since or old == self.gone:
                 self.exposure_log.forget(old)
-        for kept in list[dict[Any, Any]]((self.rows, self.flags, self.norms)):
+                self.statistics.forget(old)
+        for kept in list[dict[Any, Any]]((self.rows, self.flags)):
             for key, b in [(key, key if isinstance(key, int) else key[0]) for key in kept]:
                 kept.pop(key) if b < since or b == self.gone else None
         return since
@@ -568,9 +496,10 @@
             return
         if settled and not failed:
             # Danger: machines of the trial build that are sent more than others are slower for that alone.
-            limit = min(LATE_AIMS * request.kind.latency_objective, LATE_TIMES * self._usual(request))
+            objective = request.request_class.latency_objective
+            limit = min(LATE_AIMS * objective, LATE_TIMES * self.statistics.expected_time(request))
             late = event.elapsed > limit * attempt.relative_load
-        row = self.rows.setdefault((build, request.kind.name), [0.0, 0.0, 0.0])
+        row = self.rows.setdefault((build, request.request_class.name), [0.0, 0.0, 0.0])
         row[:] = [row[0] * (1 - 1 / MEMORY) + 1, row[1] * (1 - 1 / MEMORY) + failed, row[2] + 1]
         if test is None or build > test.key[0] or request.judged:
             return
@@ -581,17 +510,18 @@
             request.judged = True  # Danger: one failing request, retried, would count again and again.
             test.outcomes += 1
             facts = (failed, None, None if failed else False)  # lateness is judged in the step
-            for k, (bad, stream) in enumerate(zip(facts, self._streams(test, request.kind.name))):
+            for k, (bad, stream) in enumerate(zip(facts, self._streams(test, request.request_class.name))):
                 if bad is not None and stream:
                     test.innovation[k] += log_likelihood_ratio(bad, *stream)
-            blame = log_likelihood_ratio(True, self._p0(test, request.kind.name), MARGIN) if failed else 0.0
+            p0 = self._p0(test, request.request_class.name)
+            blame = log_likelihood_ratio(True, p0, MARGIN) if failed else 0.0
             test.failures += failed
             self.shared_health.record_trial_outcome(server.incarnation, failed, blame)
 
     def _disputed(self, event: api.AnswerDisputed) -> None:
         # Danger: a wrong answer counts as a good one when it comes; only a flag tells, and some flags err.
-        server, test = self.servers.get(event.server), self.test
-        if server is None or self._age(server) <= event.age:
+        server, test = self.server_list.by_id.get(event.server), self.test
+        if server is None or server.age(self.now) <= event.age:
             return  # it was another build's, or another start's
         self.flags[server.info.build] = self.flags.get(server.info.build, 0) + 1
         stream = self._streams(test)[2] if test else None
@@ -628,9 +558,9 @@
             test.heard, test.meets, test.turns = None, test.meets + met, test.turns + 1
         if schedule.begins_round:
             self.shared_health.end_round(schedule.round_duration)
-            fleet = [(s.incarnation, s.info.zone) for s in self.fleet]
+            fleet = [(s.incarnation, s.info.zone) for s in self.server_list.available]
             avoided = self.shared_health.servers_to_avoid(fleet, self.random.random)
-            for server in self.fleet:
+            for server in self.server_list.available:
                 server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
                 if server.incarnation in avoided:
                     server.ejected_until = max(server.ejected_until, self.now + schedule.round_duration)
@@ -682,7 +612,7 @@
         base = (number * kept + fresh for number, fresh in zip(test.base, test.fresh))
         first, *more = (score + fresh for score, fresh in zip(test.score, test.innovation))
         poor = test.mix[12] + test.failures
-        count, carried = test.count + test.outcomes, self.throughput.peak_per_server
+        count, carried = test.count + test.outcomes, self.statistics.throughput.peak_per_server
         test.mix = [first + alone, *more, count, *base, *test.fresh[2:], carried, gone, poor]
         test.innovation, test.outcomes, test.failures, test.fresh = [0.0] * 3, 0, 0, [0.0] * 6
 
--- /dev/null
+++ b/frostfall/policy/learning.py
@@ -0,0 +1,55 @@
+"""What the end of an attempt tells of its server (types: frostfall/interface.py)."""
+
+from frostfall import interface as api
+from frostfall.interface import Microseconds, Outcome
+from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.mechanisms.fleet_statistics import FleetStatistics, StatisticsParameters
+from frostfall.records import Attempt, PendingRequest
+from frostfall.shared_health.server_health import SharedHealth
+
+STATISTICS = StatisticsParameters(
+    error_weight=0.15,
+    slowness_weight=0.07,
+    fleet_weight=0.05,
+    time_weight=0.03,
+    smallest_work=0.3,
+    largest_work=3.0,
+    smallest_slowness=0.3,
+    largest_slowness=8.0,
+    server_memory=3_000_000,  # us
+    rate_memory=2_000_000,  # us
+    peak_memory=20_000_000,  # us: it fades so slowly as a fleet warms up
+)
+OVERLOAD_EJECTION = 300_000  # us that an overloaded server is left alone
+UNREACHABLE_EJECTION = ExponentialBackoff(first=300_000, longest=4_000_000)  # us, of an unreachable one
+ANSWERS = (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED)
+ERRORS = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET)
+
+
+class Learning:
+    """Judges servers by ended attempts."""
+
+    def __init__(self, statistics: FleetStatistics, shared_health: SharedHealth) -> None:
+        self.statistics, self.shared_health = statistics, shared_health
+
+    def record_outcome(
+        self, now: Microseconds, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded
+    ) -> None:
+        """Learn from the end of an attempt."""
+        server, outcome, served = attempt.server, event.outcome, event.outcome is Outcome.SUCCESS
+        failed, silent = outcome is Outcome.ERROR, attempt.was_silent
+        if served or failed or silent:  # an answer that is late tells of load
+            self.shared_health.record_attempt(server.incarnation, server.info.zone, failed, silent)
+        if outcome is Outcome.UNREACHABLE:
+            server.ejected_until = now + server.ejection.next()
+            return
+        if outcome in ANSWERS:
+            server.heard_at = now
+            server.ejection.reset()
+            server.ejected_until = now + OVERLOAD_EJECTION * (outcome is Outcome.OVERLOADED)
+        self.statistics.record_end(now, server, served=served)
+        if served or outcome in ERRORS:
+            self.statistics.record_error(server, failed=not served)
+        if served or outcome is Outcome.TIMED_OUT:
+            self.statistics.record_time(request, server, event.elapsed)
+        self.statistics.record_load(now, server, event.load)
--- /dev/null
+++ b/frostfall/policy/server_watch.py
@@ -0,0 +1,11 @@
+"""When discovery is asked for the server list (types: frostfall/interface.py)."""
+
+from frostfall.mechanisms.watch_schedule import WatchParameters
+
+WATCH = WatchParameters(
+    retry_first=300_000,
+    retry_longest=4_000_000,
+    retry_jitter=100_000,
+    spacing=200_000,
+    start_part=5,
+)
--- a/frostfall/state.py
+++ b/frostfall/state.py
@@ -1,4 +1,4 @@
-"""The records in which an agent keeps what it knows; they decide nothing."""
+"""The records of the running test and the votes on it; they decide nothing."""
 
 from __future__ import annotations
 
@@ -6,9 +6,7 @@
 from base64 import b85decode, b85encode
 from dataclasses import dataclass, field
 
-from frostfall import interface as api
-from frostfall.interface import Outcome, Verdict
-from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.interface import Verdict
 
 
 @dataclass(slots=True)
@@ -75,58 +73,3 @@
     verdict: Verdict
     key: tuple[int, int]
     renew_at: int
-
-
-@dataclass(slots=True)
-class ServerState:
-    """A server as this agent sees it; a new start or build makes a new one."""
-
-    info: api.Server
-    ejection: ExponentialBackoff  # pauses after it was unreachable
-    rank: float = 0.0  # its place in this agent's own order of servers
-    in_flight: dict[tuple[str, int], int] = field(default_factory=dict)  # attempts out, by send time
-    others_in_flight: float = 0.0  # what the other agents have there, by its reports
-    reported_at: int = 0  # when it last reported
-    slowness: float = 1.0  # answer times against the fleet's
-    error_rate: float = 0.0  # recent share of errors
-    learned_at: int = 0  # when the last outcome told of these
-    ejected_until: int = 0
-    heard_at: int = 0
-    checked_at: int = 0
-    warm_up_credit: float = 0.0  # sends that the cold budget allowed when it was last reckoned
-    credit_updated_at: int = 0
-    shared_error_rate: float = 0.0  # recent share of failures by what all agents saw
-
-    @property
-    def incarnation(self) -> tuple[int, int]:
-        """Its name together with its start: after a restart it is another."""
-        return self.info.id, self.info.started_at
-
-
-@dataclass(slots=True)
-class Attempt:
-    """One attempt; `server` is the entry that it was sent by."""
-
-    server: ServerState
-    sent_at: int
-    relative_load: float = 1.0  # how much more the server had to do than others when it was sent
-    outcome: Outcome | None = None
-
-    @property
-    def may_have_run(self) -> bool:
-        """Whether it is out or ended without proof that it never ran."""
-        return self.outcome is None or not self.outcome.never_ran
-
-
-@dataclass(slots=True)
-class PendingRequest:
-    """A request taken and not yet forgotten."""
-
-    arrival: api.RequestArrived
-    kind: api.RequestClass
-    arrived_at: int
-    exposure_group: str = ""  # what the cap on exposure counts it with
-    attempts: list[Attempt] = field(default_factory=list)
-    done: bool = False
-    streaming: bool = False
-    judged: bool = False
--- a/tests/support.py
+++ b/tests/support.py
@@ -8,7 +8,7 @@
 
 from frostfall import interface as api
 from frostfall.policy.engine import PolicyEngine
-from frostfall.state import PendingRequest
+from frostfall.records import PendingRequest
 
 S = 1_000_000
 SAFE = api.RequestClass("read", api.Idempotency.IDEMPOTENT, api.DeduplicationScope.ALL, 0, S, 3 * S, 1.0)
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -8,10 +8,13 @@
 
 import pytest
 
+from frostfall import interface as api
 from frostfall.mechanisms.backoff import ExponentialBackoff
 from frostfall.mechanisms.exposure_log import ExposureCounts, ExposureLog
+from frostfall.mechanisms.fleet_statistics import FleetStatistics
 from frostfall.mechanisms.mixing import ExchangeSchedule
 from frostfall.mechanisms.poisson import safe_utilization
+from frostfall.mechanisms.server_list import ServerList
 from frostfall.mechanisms.service_times import ServiceTimes
 from frostfall.mechanisms.sliding_window import SlidingWindow
 from frostfall.mechanisms.sprt import Band, Hypothesis, smoothed_share
@@ -19,7 +22,8 @@
 from frostfall.mechanisms.token_bucket import TokenBucket
 from frostfall.mechanisms.watch_schedule import WatchParameters, WatchSchedule
 from frostfall.mechanisms.weighted_choice import choose_by_cost
-from tests.support import S
+from frostfall.policy.learning import STATISTICS
+from tests.support import S, server
 
 # ---- time and counts ------------------------------------------------------------------------------
 
@@ -174,3 +178,68 @@
         partner = schedules[schedule.partner(13)]
         assert partner.partner(13) == schedule.agent
         assert schedule.is_unpaired(13) == (partner is schedule)
+
+
+# ---- servers --------------------------------------------------------------------------------------
+
+
+def listed(*entries: api.Server) -> ServerList:
+    servers = ServerList(random.Random(1), ejection=ExponentialBackoff(first=1, longest=4))
+    servers.update(0, api.ServerListKind.COMPLETE, entries)
+    return servers
+
+
+def test_a_server_list_tells_which_servers_are_new_newly_started_or_gone() -> None:
+    servers = listed(server(1), server(2), server(3))
+    first = servers.by_id[1]
+    moved, restarted = server(1, zone="b"), server(2, started=5)
+    removed = server(3, availability=api.Availability.REMOVED)
+    draining = server(4, availability=api.Availability.DRAINING)
+    entries = (moved, restarted, removed, draining)
+    assert servers.update(9, api.ServerListKind.DELTA, entries) == [2, 3, 4]
+    assert servers.by_id[1] is first and first.info is moved
+    assert set(servers.by_id) == {1, 2, 4}
+    assert {each.info.id for each in servers.available} == {1, 2}
+    assert servers.incarnations() == {(1, 0), (2, 5), (4, 0)}
+    servers.update(9, api.ServerListKind.COMPLETE, (server(4, build=7), server(5, build=8)))
+    assert set(servers.by_id) == {4, 5}
+    assert servers.lowest_build == 7
+    ranks = [each.rank for each in servers.available]
+    assert ranks == sorted(ranks)
+
+
+def test_a_server_warms_up_from_the_initial_share_to_all_of_its_capacity() -> None:
+    known = listed(server(1, started=100 * S)).by_id[1]
+    rules = api.Rules(20_000, 500_000, 10 * S, 0.3, 4 * S, 3.0, S)
+    warmth = [known.warmth((100 + at) * S, rules) for at in (-1, 0, 2, 4, 9)]
+    assert warmth == pytest.approx([0.3, 0.3, 0.65, 1, 1])
+    assert known.age(103 * S) == 3 * S
+    assert listed(server(1)).by_id[1].age(0) > 1000 * 365 * 86_400 * S  # as old as can be
+
+
+def test_the_credit_of_a_cold_server_accrues_to_one_send() -> None:
+    known = listed(server(1)).by_id[1]
+    known.warm_up_credit = 0.0
+    assert known.accrue_credit(S, 0.25, 2 * S) == pytest.approx(0.25)
+    assert known.accrue_credit(9 * S, 0.25, 2 * S) == pytest.approx(0.75)  # no more than for the longest span
+    assert known.accrue_credit(10 * S, 9.0, 2 * S) == 1
+    known.spend_credit()
+    assert known.warm_up_credit == 0
+    known.spend_credit()
+    assert known.warm_up_credit == 0
+
+
+def test_a_server_is_held_against_others_of_its_build() -> None:
+    servers = listed(server(1), server(2))
+    statistics, known = FleetStatistics(STATISTICS, servers), servers.by_id[1]
+    assert statistics.penalty(0, known, 0.9) == 1
+    known.error_rate, known.slowness = 0.5, 3.0
+    assert statistics.penalty(0, known, 0.9) == pytest.approx(3.0 / 0.25)
+    statistics.profiles[1].error_rate, statistics.profiles[1].slowness = 0.5, 2.0
+    assert statistics.penalty(0, known, 0.9) == pytest.approx(1.5)
+    known.shared_error_rate = 1.0
+    assert statistics.penalty(0, known, 0.25) == pytest.approx(1.5 / 0.75**2)
+    faded = statistics.penalty(100 * STATISTICS.server_memory, known, 0.25)
+    assert faded == pytest.approx(0.5 / 0.75**2)
+    statistics.forget(1)
+    assert not statistics.profiles
