--- a/frostfall/policy/engine.py
+++ b/frostfall/policy/engine.py
@@ -8,34 +8,26 @@
 from zlib import crc32
 
 from frostfall import interface as api
-from frostfall.interface import Availability, Idempotency, Outcome, RolloutPhase, Verdict, VoteReply
+from frostfall.interface import Availability, Idempotency, Outcome, RolloutPhase, VoteReply
 from frostfall.mechanisms.exposure_log import ExposureLog
 from frostfall.mechanisms.fleet_statistics import FleetStatistics
 from frostfall.mechanisms.mixing import ExchangeSchedule
+from frostfall.mechanisms.peer_exchange import PeerExchange
 from frostfall.mechanisms.poisson import safe_utilization
+from frostfall.mechanisms.sequential_test import SequentialTest
 from frostfall.mechanisms.server_list import ServerList
-from frostfall.mechanisms.sprt import decision_threshold, kl_divergence, log_likelihood_ratio
 from frostfall.mechanisms.token_bucket import TokenBucket
 from frostfall.mechanisms.watch_schedule import WatchSchedule
 from frostfall.mechanisms.weighted_choice import choose_by_cost
 from frostfall.policy.learning import STATISTICS, UNREACHABLE_EJECTION, Learning
+from frostfall.policy.rollout_test import EXCHANGE_PERIOD, RolloutTest
 from frostfall.policy.server_watch import WATCH
 from frostfall.records import Attempt, PendingRequest, ServerState, unknown_class
 from frostfall.routing.outlier_ejection import OutlierEjections
 from frostfall.shared_health.server_health import SharedHealth
-from frostfall.state import GossipMessage, PendingVote, SequentialTest
 
-TICK, HOLD = 100_000, 50_000  # in us: one exchange, over a message's way; how often a held request is tried
+HOLD = 50_000  # us: how often a held request is tried
 TICKS, HOLDS = "*tick", "*hold"  # tokens of our own timers: no request may be named so
-TRIAL_TICK, LONG = 50_000, 6  # one exchange on trial where a round has so many: stages wait for rounds
-ALPHA, BETA, MARGIN = 0.05, 0.05, 0.05  # the design's: chances of a wrong 'on', 'back' (shared out); p1 - p0
-LATE_AIMS, LATE_TIMES, LATE_MARGIN = 1.5, 2.5, 0.2  # late is over so many aims, or usual times; its p1 - p0
-LATE_MEMORY, LATE_LEAST, LATE_PART, LATE_CALM = 5e5, 15.0, 0.33, 0.25  # of the moment, the trial's too; calm
-PRIOR_BAD, PRIOR_WEIGHT = 0.01, 50.0  # p0 before outcomes, and how many outcomes it is worth: keeps p0 off 0
-LATE_MOST, LAST_MARGIN, LAST_TIME = 0.34, 0.4, 5_000_000  # of the way to 'back' in a round; calm times'
-FLAG_FLOOR, MEMORY = 0.003, 600.0  # disputes always reckoned with; pooled outcomes p0 remembers: counted
-LEAST_POOLED, VOTES_USE, LOGGED = 10, 0.5, 3  # outcomes a vote needs; part of votes a second used; who logs
-SETTLE = 5_000_000  # younger machines may be slow
 MESSAGE = 256  # characters that a peer takes
 LUCK, COLD_LEAST = 2.0, 1.0  # deviations of chance the cold budget keeps clear of; its least sends a second
 NEAR, NEAR_USES = 12, 4  # servers that an agent keeps to at least; sends that make a connection worth while
@@ -64,8 +56,7 @@
         self.now, self.actions = 0, list[api.Action]()
         self.server_list = ServerList(self.random, ejection=UNREACHABLE_EJECTION)
         self.statistics = FleetStatistics(STATISTICS, self.server_list)
-        self.requests = dict[str, PendingRequest]()
-        self.waiting: dict[str, PendingRequest] = {}  # requests with no server to go to yet, in order
+        self.requests, self.waiting = dict[str, PendingRequest](), dict[str, PendingRequest]()  # in order
         self.trials = list[ServerState]()
         self.shed, self.best = 0.0, max((kind.priority_weight for kind in settings.classes), default=1.0)
         self.retry_budget = TokenBucket(capacity=RETRY_DEPTH, tokens=RETRY_DEPTH)
@@ -76,14 +67,11 @@
         self.rollout_state: api.RolloutState | None = None
         self.exposure_log = ExposureLog(self.rollout.exposure_window if self.rollout else 0)
         self.answered_by = dict[str, int]()  # of one-way keys
-        self.schedule, self.eager = ExchangeSchedule(settings.agent, self.agents, TICK), EAGER
-        self.rows = dict[tuple[int, str], list[float]]()  # by build, class: own outcomes, failed, ever
-        self.flags, self.calm, self.gone = dict[int, int](), 0.0, -1  # disputes; late before; build gone back
-        self.test: SequentialTest | None = None
-        self.ballot: PendingVote | None = None
+        self.schedule, self.eager = ExchangeSchedule(settings.agent, self.agents, EXCHANGE_PERIOD), EAGER
         self.shared_health = SharedHealth(self.agents, self.schedule.exchanges)  # what all agents saw
-        self.learning = Learning(self.statistics, self.shared_health)
-        self.ejections = OutlierEjections()  # servers that turned slow in the middle of an answer
+        self.exchange = PeerExchange(self.schedule, self.shared_health, max_chars=MESSAGE)
+        self.rollout_test = RolloutTest(settings, self.schedule, self.shared_health, self.statistics)
+        self.learning, self.ejections = Learning(self.statistics, self.shared_health), OutlierEjections()
         self.handlers: dict[type, Any] = {
             api.RequestArrived: self._arrive, api.AttemptEnded: self._ended, api.TimerFired: self._timer,
             api.GossipReceived: self._hear, api.ServerListUpdated: self._listed, api.RolloutState: self._news,
@@ -97,9 +85,9 @@
         return self.server_list.by_id
 
     def start(self, now: int) -> list[api.Action]:
-        """The first actions of a new instance."""
+        """The first actions of a new instance. Turns go by the clock: agents exchange in step."""
         self.now, self.actions = now, []
-        self.actions.append(api.SetTimer(TICK - now % TICK, TICKS))  # by the clock: agents exchange in step
+        self.actions.append(api.SetTimer(EXCHANGE_PERIOD - now % EXCHANGE_PERIOD, TICKS))
         self.watch.start(now)
         return self.actions
 
@@ -141,9 +129,8 @@
 
     def _weigh(self) -> None:
         fleet = self.server_list.available
-        self.trials = [s for s in fleet if self.test and s.info.build == self.test.key[0]]
-        trials = [s.incarnation for s in self.trials]
-        self.shared_health.update_fleet(self.server_list.incarnations(), trials)
+        self.trials = [s for s in fleet if self.rollout_test.tested(s.info.build)]
+        self.shared_health.update_fleet(self.server_list.incarnations(), [s.incarnation for s in self.trials])
         on_top = len(self.trials) if self.rollout and self.rollout.keeps_old_servers else 0
         self.eager = EAGER * (1 + 8 * on_top / max(len(fleet), 1))
 
@@ -152,15 +139,13 @@
         # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
         # Danger: a fleet all cold serves less, and would be allowed less still. What was carried counts.
         self.statistics.served(self.now)
-        carried = self.statistics.throughput.peak_per_server
-        everyone = max(carried, self.test.carried * self._pool(self.test) if self.test else 0.0)
+        carried, test = self.statistics.throughput.peak_per_server, self.rollout_test.test
+        everyone = max(carried, test.pooled_served_per_server if test else 0.0)
         most = self.rules.overload_multiple * server.warmth(self.now, self.rules)
         budget = max(most * everyone * self.rules.overload_window / 1e6, 1e-9)
         earned = max(most * carried * safe_utilization(budget, LUCK), COLD_LEAST / self.agents)
         return server.accrue_credit(self.now, earned, self.rules.overload_window)
 
-    # ---- guards: every send and refusal passes here, whatever policy chose it ----------------------------
-
     def may_write(self, now: int, name: str, number: int) -> bool:
         """Whether an attempt may still go out: to be asked just before its first byte."""
         # Danger: while it waits for a connection, a grace or window ends, a cap falls, its server restarts.
@@ -292,7 +277,7 @@
         # Danger: a build's first machines are near few agents. What their cold budget leaves is used at once.
         young = self.rules.warm_up_duration
         urgent = [s for s in self.trials if s.age(now) < young and (whole or s in fleet)
-                  ] if self._short() else []
+                  ] if self.rollout_test.lacks_outcomes else []
         options = [s for s in (*urgent, *some) if room and s.ejected_until <= now and may(request, s)]
         if some and room and not options:
             # Danger: with the fleet all cold, what the budget allows lies at servers beyond those kept to.
@@ -321,15 +306,14 @@
             oldest.checked_at = self.now
             self.actions.append(api.CheckServerHealth(oldest.info.id))
 
-    def _short(self) -> bool:
-        return self.test is not None and self.test.count * self._pool(self.test) < LEAST_POOLED
-
     def _wanted(self, request: PendingRequest, server: ServerState) -> bool:
         build, news = server.info.build, self.rollout_state
         if news is None or not self._on_trial(build):
             return True
         # Danger: if a low score stopped the traffic before a vote has its outcomes, there would be no vote.
-        if news.phase is not RolloutPhase.TRIAL or (self.test and self.test.lean <= -1 and not self._short()):
+        test = self.rollout_test.test
+        failing = test and test.position <= -1 and not self.rollout_test.lacks_outcomes
+        if news.phase is not RolloutPhase.TRIAL or failing:
             return False
         return request.request_class.idempotent or (build == news.build and news.stage > 0)
 
@@ -343,9 +327,9 @@
               informed: float) -> float:
         info = server.info  # its cost begins with its load; the penalty fades by itself, so counts in full
         cost *= math.pow(self.statistics.penalty(self.now, server, 0.9), KEEN / keen)
-        trial = self.test if self.test and info.build == self.test.key[0] else None
-        cost *= 2.0 ** -(self.eager * informed * (1 + min(trial.lean, 1.0))) if trial else 1.0
-        cost /= 1.0 if trial and self._short() else server.warmth(self.now, self.rules)
+        trial = self.rollout_test.tested(info.build)
+        cost *= 2.0 ** -(self.eager * informed * (1 + min(trial.position, 1.0))) if trial else 1.0
+        cost /= 1.0 if trial and self.rollout_test.lacks_outcomes else server.warmth(self.now, self.rules)
         if server.in_flight and (usual := self.statistics.times.overall_mean):
             # Danger: a lost, stuck or slow server looks idle to its list.
             overdue = server.oldest_attempt_age(self.now) / usual / OVERDUE
@@ -378,7 +362,7 @@
             self.ejections.record_success(self.now, event.server)
         self.learning.record_outcome(self.now, request, attempt, event)
         self._shed_by(request, attempt, event)
-        self._judge(request, attempt, event)
+        self.rollout_test.record_outcome(request, attempt, event)
         if event.final or request.done:
             build, one_way = attempt.server.info.build, self.rollout and self.rollout.forward_only_keys
             if event.outcome is Outcome.SUCCESS and key and one_way and self._on_trial(build):
@@ -415,232 +399,54 @@
             if self.rollout_state and news.cap < self.rollout_state.cap:
                 self.exposure_log.restart_at(self.now + self.rules.drain_grace)
             self.rollout_state = news
-            key = (news.build, news.stage if news.phase is RolloutPhase.TRIAL else -1)
-            # Danger: in a large fleet a round takes a second, and each stage would wait for two of them.
-            votes = self.rollout is not None and self.rollout.control is api.RolloutControl.VOTES
-            fast = votes and news.phase is RolloutPhase.TRIAL and self.schedule.exchanges >= LONG
-            self.schedule.period = TRIAL_TICK if fast else TICK
-            if news.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK):
-                self.test, self.gone = None, news.build
-                self.shared_health.set_trial_stage()
-            elif self.test is None or self.test.key != key:
-                old, was = self.test, self._forget(news.build)
-                base = old.base if old and old.key[0] == news.build else [
-                    sum(row[k] for (b, _), row in self.rows.items() if b == was) for k in (0, 1)]
-                # Danger: from zero at each stage, lateness that lasts would tell after the release only.
-                late = min(old.mix[1], 0.0) if old and old.key[0] == news.build else 0.0
-                mix = [0.0, late, 0.0, 0.0, *base, *[0.0] * 7]
-                self.test = SequentialTest(key, self.now - news.age, base, mix)
-                self.shared_health.set_trial_stage(key)
+            if self.rollout_test.update(self.now, news):
+                self._forget(news.build)
                 self._weigh()
-        if news.reply in (VoteReply.OVERLOADED, VoteReply.ERROR, VoteReply.UNKNOWN) and self.ballot:
-            self.ballot.renew_at = self.now + 300_000 + self.random.randrange(500_000)
-
-    def _forget(self, build: int) -> int:
-        # Danger: where builds follow one another all day, what is kept of each would add up.
-        since = self._earlier(build)
-        self.answered_by = {key: b for key, b in self.answered_by.items() if b >= build}
-        for old in [*self.exposure_log.builds(), *self.statistics.profiles]:
-            if old < since or old == self.gone:
-                self.exposure_log.forget(old)
-                self.statistics.forget(old)
-        for kept in list[dict[Any, Any]]((self.rows, self.flags)):
-            for key, b in [(key, key if isinstance(key, int) else key[0]) for key in kept]:
-                kept.pop(key) if b < since or b == self.gone else None
-        return since
-
-    def _earlier(self, build: int) -> int:  # a build that went back is no measure for the next
-        return max((b for b, _ in self.rows if b < build and b != self.gone), default=-1)
-
-    def _p0(self, test: SequentialTest, name: str | None) -> float:
-        # The earlier build's smoothed share of failures: of all agents, or of a class, leaning on that.
-        total, bad = (number * self._pool(test) for number in test.base)
-        p0 = (bad + PRIOR_BAD * PRIOR_WEIGHT) / (total + PRIOR_WEIGHT)
-        row = self.rows.get((self._earlier(test.key[0]), name or ""), [0.0, 0.0])
-        return min((row[1] + p0 * PRIOR_WEIGHT) / (row[0] + PRIOR_WEIGHT), 0.9 - MARGIN)
-
-    def _p0_late(self, test: SequentialTest) -> float | None:  # the earlier build's share of late answers now
-        answers, late = (number * self._pool(test) for number in test.recent)
-        # Danger: what is left of an earlier build that leaves is idle; in an overload load tells who is late.
-        enough = LATE_LEAST <= answers > late / LATE_CALM and test.timed[0] >= LATE_PART * test.timed[2]
-        return min((late + 1) / (answers + 10), 0.9 - LATE_MARGIN) if enough else None
-
-    def _pool(self, test: SequentialTest) -> float:  # how many agents' numbers the mixed ones are the mean of
-        return self.agents if test.missed == 0 else min(2.0 ** test.met, self.agents)
-
-    def _streams(self, test: SequentialTest, name: str | None = None) -> list[tuple[float, float] | None]:
-        # Failures, lateness, disputes: p0 and p1 - p0, or None. Danger: in one sum, one would cover another.
-        late, share = self._p0_late(test), self.rollout.dispute_report_share if self.rollout else 0.0
-        build = self._earlier(test.key[0])
-        answers = sum(row[2] for (b, _), row in self.rows.items() if b == build)
-        flagged = max((self.flags.get(build, 0) + 1) / (answers + 1 / FLAG_FLOOR), FLAG_FLOOR)
-        return [(self._p0(test, name), MARGIN), (late, LATE_MARGIN) if late is not None else None,
-                (flagged, MARGIN * share) if share else None]
-
-    def _bands(self, test: SequentialTest) -> list[tuple[float, float]]:
-        # Danger: with peers silent or cut off the mixed score is the mean of few agents', and strays further.
-        # r is that of the exchanges of the round that took place: each halves the spread's square.
-        n, r = self.agents, self.schedule.mixing_rate
-        r = max(r, 2.0 ** (-test.met / 2)) if test.missed else r
-        pace = test.count / max(test.steps, 1)
-        rates = [kl_divergence(sum(each), each[0]) * pace if each else 0.0 for each in self._streams(test)]
-        return [(decision_threshold(ALPHA, n, r, m), -decision_threshold(BETA / n, n, r, m)) for m in rates]
-
-    def _judge(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
-        server = attempt.server
-        test, build, failed, late = self.test, server.info.build, event.outcome is Outcome.ERROR, None
-        settled = attempt.sent_at - server.info.started_at >= SETTLE  # a cold machine is slow
-        # Danger: a server that has said nothing since is lost or cut off; that tells nothing of its build.
-        slow = event.outcome is Outcome.TIMED_OUT and server.heard_at > attempt.sent_at and settled
-        if build == self.gone or (not slow and event.outcome not in (Outcome.SUCCESS, Outcome.ERROR)):
-            return
-        if settled and not failed:
-            # Danger: machines of the trial build that are sent more than others are slower for that alone.
-            objective = request.request_class.latency_objective
-            limit = min(LATE_AIMS * objective, LATE_TIMES * self.statistics.expected_time(request))
-            late = event.elapsed > limit * attempt.relative_load
-        row = self.rows.setdefault((build, request.request_class.name), [0.0, 0.0, 0.0])
-        row[:] = [row[0] * (1 - 1 / MEMORY) + 1, row[1] * (1 - 1 / MEMORY) + failed, row[2] + 1]
-        if test is None or build > test.key[0] or request.judged:
-            return
-        trial, timed = build == test.key[0], (late is not None, late or False)
-        for k, more in enumerate((0, 0, 0, 0, *timed) if trial else (1, failed, *timed)):
-            test.fresh[k] += more
-        if trial:
-            request.judged = True  # Danger: one failing request, retried, would count again and again.
-            test.outcomes += 1
-            facts = (failed, None, None if failed else False)  # lateness is judged in the step
-            for k, (bad, stream) in enumerate(zip(facts, self._streams(test, request.request_class.name))):
-                if bad is not None and stream:
-                    test.innovation[k] += log_likelihood_ratio(bad, *stream)
-            p0 = self._p0(test, request.request_class.name)
-            blame = log_likelihood_ratio(True, p0, MARGIN) if failed else 0.0
-            test.failures += failed
-            self.shared_health.record_trial_outcome(server.incarnation, failed, blame)
+        if news.reply in (VoteReply.OVERLOADED, VoteReply.ERROR, VoteReply.UNKNOWN):
+            self.rollout_test.retry_vote(self.now, self.random)
+
+    def _forget(self, newest: int) -> None:
+        # Where builds follow one another all day, what is kept of each would add up.
+        self.answered_by = {key: build for key, build in self.answered_by.items() if build >= newest}
+        baseline = self.rollout_test.outcomes.baseline(newest)
+        for build in [*self.exposure_log.builds(), *self.statistics.profiles]:
+            if self.rollout_test.outcomes.is_obsolete(build, baseline):
+                self.exposure_log.forget(build)
+                self.statistics.forget(build)
 
     def _disputed(self, event: api.AnswerDisputed) -> None:
-        # Danger: a wrong answer counts as a good one when it comes; only a flag tells, and some flags err.
-        server, test = self.server_list.by_id.get(event.server), self.test
-        if server is None or server.age(self.now) <= event.age:
-            return  # it was another build's, or another start's
-        self.flags[server.info.build] = self.flags.get(server.info.build, 0) + 1
-        stream = self._streams(test)[2] if test else None
-        if test and stream and server.info.build == test.key[0]:
-            test.innovation[2] += log_likelihood_ratio(True, *stream) - log_likelihood_ratio(False, *stream)
+        server = self.server_list.by_id.get(event.server)
+        if server and server.age(self.now) > event.age:  # else it was another build's, or another start's
+            self.rollout_test.record_dispute(server.info.build)
 
     def _hear(self, event: api.GossipReceived) -> None:
-        # Danger: a peer on another build or stage, or a mangled message, must not reach the score.
-        test, (score, _, servers) = self.test, event.text.partition(" ")
-        turn = self.schedule.turn
-        if event.sender != self.schedule.partner(turn):
-            return
-        self.shared_health.push_sum.receive(turn, servers)
-        told = GossipMessage.decode(score)
-        if test and told and (*test.key, turn & 0xFFFF) == (told.build, told.stage, told.turn):
-            test.heard = told.numbers
+        self.exchange.receive(event.sender, event.text, self.rollout_test.test)
 
     def _tick(self) -> None:
-        schedule, period = self.schedule, self.schedule.period
+        period, test = self.schedule.period, self.rollout_test.test
         self.actions.append(api.SetTimer(period - self.now % period, TICKS))
         if self.settings.needs_watch and self.watch.is_due(self.now):
             self.watch.renew(self.now)
             self.actions.append(api.WatchServerList())
-        test, last, turn = self.test, schedule.advance(self.now), schedule.turn
+        last = self.schedule.advance(self.now)
         if self.rollout is None:
             return
-        itself = schedule.is_unpaired(last)
-        self.shared_health.push_sum.end_exchange(last, itself)
-        # Danger: a silent partner freezes its term. Its half of the weight goes back to our own.
-        if test and test.heard and last == turn - 1:
-            test.mix = [(own + told) / 2 for own, told in zip(test.mix, test.heard)]
+        self.exchange.end_turn(last, test)
+        if self.schedule.begins_round:
+            self._end_round(test)
+        if self.limits.gossip and (message := self.exchange.message(test)):
+            self.actions.append(message)
         if test:
-            met = test.heard is not None or itself
-            test.heard, test.meets, test.turns = None, test.meets + met, test.turns + 1
-        if schedule.begins_round:
-            self.shared_health.end_round(schedule.round_duration)
-            fleet = [(s.incarnation, s.info.zone) for s in self.server_list.available]
-            avoided = self.shared_health.servers_to_avoid(fleet, self.random.random)
-            for server in self.server_list.available:
-                server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
-                if server.incarnation in avoided:
-                    server.ejected_until = max(server.ejected_until, self.now + schedule.round_duration)
-            if test:
-                self._step(test, self.rollout)
-        if (peer := schedule.partner(turn)) != schedule.agent and self.limits.gossip:
-            text = GossipMessage(*test.key, turn, test.mix).encode() if test else ""
-            servers = self.shared_health.build_message(turn, MESSAGE - 1 - len(text))
-            self.actions.append(api.SendGossip(peer, f"{text} {servers}"))
+            self.actions.extend(self.rollout_test.cast_vote(self.now, test, self.rollout))
+
+    def _end_round(self, test: SequentialTest | None) -> None:
+        duration, available = self.schedule.round_duration, self.server_list.available
+        self.shared_health.end_round(duration)
+        zones = [(server.incarnation, server.info.zone) for server in available]
+        avoided = self.shared_health.servers_to_avoid(zones, self.random.random)
+        for server in available:
+            server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
+            if server.incarnation in avoided:
+                server.ejected_until = max(server.ejected_until, self.now + duration)
         if test:
-            self._cast(test, self.rollout)
-
-    def _step(self, test: SequentialTest, rollout: api.RolloutSettings) -> None:
-        # Danger: an agent that met all its partners, most of them cut off, has no more behind its numbers.
-        gone = test.turns - test.meets
-        test.steps, test.missed, test.meets, test.turns = test.steps + 1, max(gone, test.mix[11]), 0, 0
-        test.met = self.schedule.exchanges - test.missed
-        test.score, test.base, test.timed = test.mix[:3], test.mix[4:6], test.mix[6:10]
-        test.count, test.carried, pool = test.mix[3], test.mix[10], self._pool(test)
-        tried, poor = test.count * pool, test.mix[12] * pool
-        alone = self.shared_health.outlier_evidence(tried, poor, LEAST_POOLED) / pool
-        test.score[0] -= alone
-        # Danger: held against a p0 of a moment ago, the onset of a shared slowdown speaks against the trial.
-        fade = math.exp(-self.schedule.round_duration / LATE_MEMORY)
-        test.recent = [old * fade + new for old, new in zip(test.recent, test.timed)]
-        most = LATE_MOST * self.schedule.period / TICK  # of the way to 'back'
-        bands, p0, margin = self._bands(test), self._p0_late(test), LATE_MARGIN
-        if p0 is not None and test.key[1] == 0 and self._short():
-            self.calm = p0
-        # Danger: a build that slows all servers alike has nothing to be held against once it is widespread.
-        # Then calmer times serve as p0, for all servers; only lateness that outlasts most others tells.
-        if p0 is None and self.calm and test.key[1]:
-            p0, margin = min(self.calm, 0.9 - LAST_MARGIN), LAST_MARGIN
-            most = self.schedule.round_duration / LAST_TIME
-        if p0 is not None:
-            good, bad = (log_likelihood_ratio(late, p0, margin) for late in (False, True))
-            timed, tardy = test.timed[2:] if margin == LATE_MARGIN else (
-                test.timed[0] + test.timed[2], test.timed[1] + test.timed[3])
-            gain = (timed - tardy) * good + tardy * bad
-            test.score[1] += max(gain, bands[1][1] * most)
-        test.lean = max(-1.0, min(score / upper if score > 0 else -score / lower
-                                  for score, (upper, lower) in zip(test.score, bands)))
-        self._decide(test, rollout)
-        # What was earned beyond the band must not hide a build that sours later.
-        test.score = [min(score, band[0]) for score, band in zip(test.score, bands)]
-        if test.key[1] < 0:  # Danger: after the release, good times would put off the day when it turns bad.
-            test.score = [min(score, 0.0) for score in test.score]
-        kept = min(1.0, MEMORY / self._pool(test) / max(test.base[0], 1e-9))
-        base = (number * kept + fresh for number, fresh in zip(test.base, test.fresh))
-        first, *more = (score + fresh for score, fresh in zip(test.score, test.innovation))
-        poor = test.mix[12] + test.failures
-        count, carried = test.count + test.outcomes, self.statistics.throughput.peak_per_server
-        test.mix = [first + alone, *more, count, *base, *test.fresh[2:], carried, gone, poor]
-        test.innovation, test.outcomes, test.failures, test.fresh = [0.0] * 3, 0, 0, [0.0] * 6
-
-    def _decide(self, test: SequentialTest, rollout: api.RolloutSettings) -> None:
-        verdict, votes, trial = Verdict.NONE, rollout.control is api.RolloutControl.VOTES, test.key[1] >= 0
-        if not self._short() and self.now - test.since >= rollout.min_stage_duration:
-            if test.lean <= -1:
-                verdict = Verdict.BACK
-            elif trial and (votes or test.lean < -0.5):  # no longer wait: a vote stands, waiting costs delay
-                verdict = Verdict.HOLD if not votes else Verdict.ON if test.lean >= -0.5 else Verdict.NONE
-        if verdict is not test.verdict:
-            test.verdict, test.decided_at = verdict, self.now
-
-    def _cast(self, test: SequentialTest, desk: api.RolloutSettings) -> None:
-        last, verdict = (self.ballot if self.ballot and self.ballot.key == test.key else None), test.verdict
-        stands, held = last.verdict if last else Verdict.NONE, last is not None and self.now < last.renew_at
-        if (verdict is stands and held) or (verdict is Verdict.NONE and stands is not Verdict.HOLD):
-            return
-        # Danger: all agents see the same score, and the platform turns away what comes at once: take turns.
-        place = (self.settings.agent + crc32(b"%d %d" % test.key)) % self.agents
-        if self.now < test.decided_at + place * 1e6 / max(desk.votes_per_second * VOTES_USE, 1e-3):
-            return
-        if verdict is not stands and place < LOGGED:
-            n, pooled, p0 = self.agents, test.count * self._pool(test), self._p0(test, None)
-            scores = ", ".join(f"{n * score:.2f} in {n * lower:.2f}..{n * upper:.2f}"
-                               for score, (upper, lower) in zip(test.score, self._bands(test)))
-            text = f"vote {verdict.name} build {test.key[0]} stage {test.key[1]}: failures, late, disputes"
-            self.actions.append(api.WriteLog(f"{text} {scores}, {pooled:.0f} outcomes, p0 {p0:.3f}"))
-        self.actions.append(api.CastVote(test.key[0], max(test.key[1], 0), verdict))
-        renew_at = self.now + max(desk.vote_lifetime * 3 // 4, desk.vote_timeout)
-        self.ballot = PendingVote(verdict, test.key, renew_at)
+            self.rollout_test.end_round(self.now, test)
--- a/frostfall/records.py
+++ b/frostfall/records.py
@@ -1,4 +1,4 @@
-"""The records in which an agent keeps what it knows of servers and requests; they decide nothing."""
+"""The records in which an agent keeps what it knows of servers, requests and votes; they decide nothing."""
 
 from __future__ import annotations
 
@@ -7,14 +7,24 @@
 from dataclasses import dataclass, field
 
 from frostfall import interface as api
-from frostfall.interface import DeduplicationScope, Idempotency, Microseconds, Outcome
+from frostfall.interface import DeduplicationScope, Idempotency, Microseconds, Outcome, Verdict
 from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.mechanisms.sequential_test import StageKey
 from frostfall.shared_health.server_health import ServerIncarnation
 
 UNKNOWN_AGE: Microseconds = 1 << 60  # of a server that started before anyone took note: long ago
 SMALLEST_SIZE = 0.1  # by which a load is divided at least
 
 
+@dataclass(slots=True)
+class PendingVote:
+    """The vote that was cast last."""
+
+    verdict: Verdict
+    key: StageKey
+    renew_at: Microseconds
+
+
 @dataclass(slots=True, eq=False)
 class ServerState:
     """A server as this agent sees it; a new start or build makes a new one."""
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -10,10 +10,12 @@
 
 from frostfall import interface as api
 from frostfall.mechanisms.backoff import ExponentialBackoff
+from frostfall.mechanisms.build_outcomes import BuildOutcomes, OutcomeCounts
 from frostfall.mechanisms.exposure_log import ExposureCounts, ExposureLog
 from frostfall.mechanisms.fleet_statistics import FleetStatistics
 from frostfall.mechanisms.mixing import ExchangeSchedule
 from frostfall.mechanisms.poisson import safe_utilization
+from frostfall.mechanisms.sequential_test import RoundTotals, Scores, SequentialTest, StageKey
 from frostfall.mechanisms.server_list import ServerList
 from frostfall.mechanisms.service_times import ServiceTimes
 from frostfall.mechanisms.sliding_window import SlidingWindow
@@ -25,6 +27,9 @@
 from frostfall.policy.learning import STATISTICS
 from tests.support import S, server
 
+KEY = StageKey(build=2, stage=0)
+
+
 # ---- time and counts ------------------------------------------------------------------------------
 
 
@@ -180,6 +185,98 @@
         assert schedule.is_unpaired(13) == (partner is schedule)
 
 
+def sequential_test(totals: RoundTotals, agents: int = 8) -> SequentialTest:
+    return SequentialTest.begin(KEY, 0, agents, totals)
+
+
+def test_only_what_was_heard_in_consecutive_turns_is_averaged() -> None:
+    test = sequential_test(RoundTotals(outcomes=2.0))
+    test.received = RoundTotals(outcomes=6.0, failure_score=-1.0)
+    test.end_turn(consecutive=True, unpaired=False)
+    assert test.totals == RoundTotals(outcomes=4.0, failure_score=-0.5)
+    test.received = RoundTotals(outcomes=100.0)
+    test.end_turn(consecutive=False, unpaired=False)
+    test.end_turn(consecutive=True, unpaired=True)
+    test.end_turn(consecutive=True, unpaired=False)  # a silent partner
+    assert test.totals.outcomes == 4.0
+    assert test.settle(4) == 1
+    assert (test.missed_exchanges, test.mixed_exchanges, test.pool) == (1, 3, 8)
+    assert test.settled.outcomes == 4.0
+    assert test.pooled_outcomes == 32
+
+
+def test_missed_exchanges_leave_fewer_agents_behind_the_totals() -> None:
+    test = sequential_test(RoundTotals(missed_exchanges=2.0, served_per_server=3.0))
+    for _ in range(4):
+        test.end_turn(consecutive=True, unpaired=True)
+    assert test.settle(4) == 0  # the others have missed some
+    assert test.pool == 4
+    assert test.pooled_served_per_server == 12
+    assert test.mixing_rate(0.1) == 0.5
+    assert sequential_test(RoundTotals()).mixing_rate(0.1) == 0.1
+
+
+def test_scores_are_kept_within_their_bands_and_after_the_release_below_zero() -> None:
+    bands = [Band(upper=2.0, lower=-4.0)] * 3
+    test = sequential_test(RoundTotals())
+    test.judge(Scores(failures=5.0, lateness=1.0, disputes=-3.0), bands)
+    assert test.scores == Scores(failures=2.0, lateness=1.0, disputes=-3.0)
+    assert test.position == -0.75
+    test.judge(Scores(failures=-9.0), bands)
+    assert test.position == -1
+    released = SequentialTest.begin(StageKey(2, -1), 0, 8, RoundTotals())
+    released.judge(Scores(failures=5.0, lateness=1.0, disputes=-3.0), bands)
+    assert released.scores == Scores(failures=0.0, lateness=0.0, disputes=-3.0)
+
+
+def test_a_round_begins_with_what_was_settled_and_what_is_new() -> None:
+    test = sequential_test(RoundTotals(baseline_outcomes=100.0, baseline_failures=10.0, outcomes=7.0))
+    test.fresh.add_baseline(failed=True, late=None)
+    test.fresh.add_baseline(failed=False, late=True)
+    test.fresh.add_trial(failed=False, late=False)
+    test.fresh.failure_evidence = 0.5
+    test.settle(3)
+    test.judge(Scores(failures=1.0, lateness=-1.0, disputes=0.25), [Band(9.0, -9.0)] * 3)
+    test.begin_round(baseline_retention=0.5, excused=-2.0, served_per_server=3.0, missed=1)
+    assert test.totals == RoundTotals(
+        failure_score=-0.5,
+        lateness_score=-1.0,
+        dispute_score=0.25,
+        outcomes=8.0,
+        baseline_outcomes=52.0,
+        baseline_failures=6.0,
+        baseline_timed=1,
+        baseline_late=1,
+        trial_timed=1,
+        served_per_server=3.0,
+        missed_exchanges=1,
+    )
+    assert test.fresh.outcomes == 0
+    assert test.carried_over() == RoundTotals(
+        lateness_score=-1.0, baseline_outcomes=100.0, baseline_failures=10.0
+    )
+
+
+def test_outcomes_of_builds_decay_and_obsolete_builds_are_forgotten() -> None:
+    outcomes = BuildOutcomes(memory=2.0)
+    for build, class_name, failed in ((1, "a", True), (1, "a", False), (1, "b", True), (2, "a", True)):
+        outcomes.record(build, class_name, failed)
+    assert outcomes.of_class(1, "a") == OutcomeCounts(recent=1.5, recent_failures=0.5, total=2)
+    assert outcomes.of_class(3, "a") == OutcomeCounts()
+    assert outcomes.as_baseline(1) == RoundTotals(baseline_outcomes=2.5, baseline_failures=1.5)
+    assert outcomes.total(1) == 3
+    outcomes.record_dispute(1)
+    outcomes.record_dispute(1)
+    assert outcomes.disputes == {1: 2}
+    assert (outcomes.baseline(1), outcomes.baseline(2), outcomes.baseline(3)) == (-1, 1, 2)
+    outcomes.rolled_back_build = 2
+    assert outcomes.baseline(3) == 1  # a build that was rolled back is no measure for the next
+    outcomes.forget_obsolete(1)
+    assert set(outcomes.by_class) == {(1, "a"), (1, "b")}
+    outcomes.forget_obsolete(3)
+    assert not outcomes.by_class and not outcomes.disputes
+
+
 # ---- servers --------------------------------------------------------------------------------------
 
 
