--- /dev/null
+++ b/frostfall/engine/policy_engine.py
@@ -0,0 +1,201 @@
+"""The decision engine, sans-I/O. Events, actions and settings are in frostfall/interface.py."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from frostfall import interface as api
+from frostfall.engine.request_lifecycle import RequestLifecycle
+from frostfall.interface import Microseconds, Outcome, ServerListKind, VoteReply
+from frostfall.mechanisms.fleet_statistics import FleetStatistics
+from frostfall.mechanisms.mixing import ExchangeSchedule
+from frostfall.mechanisms.peer_exchange import PeerExchange
+from frostfall.mechanisms.sequential_test import SequentialTest
+from frostfall.mechanisms.server_list import ServerList
+from frostfall.mechanisms.watch_schedule import WatchSchedule
+from frostfall.policy.guards import AttemptGuards
+from frostfall.policy.learning import STATISTICS, UNREACHABLE_EJECTION, Learning
+from frostfall.policy.placement import PlacementPolicy
+from frostfall.policy.rollout_test import EXCHANGE_PERIOD, RolloutTest
+from frostfall.policy.routing import Routing
+from frostfall.policy.server_watch import WATCH
+from frostfall.records import PendingRequest, ServerState
+from frostfall.routing.outlier_ejection import OutlierEjections
+from frostfall.shared_health.server_health import SharedHealth
+
+EXCHANGE_TIMER = "*tick"  # its token: no request may be named so
+MESSAGE_SIZE = 256  # characters that a peer takes
+
+
+class PolicyEngine:
+    """One agent: composes the policies, and hands each event to those that it concerns."""
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        """Nothing is known of the fleet yet; all random choices are drawn from the seed."""
+        agents = max(settings.agents, settings.agent + 1)
+        self.settings, self.random = settings, random.Random(seed)
+        self.actions: list[api.Action] = []
+        self.schedule = ExchangeSchedule(settings.agent, agents, EXCHANGE_PERIOD)
+        self.shared_health = SharedHealth(agents, self.schedule.exchanges)
+        self.exchange = PeerExchange(self.schedule, self.shared_health, max_chars=MESSAGE_SIZE)
+        self.server_list = ServerList(self.random, ejection=UNREACHABLE_EJECTION)
+        renewal = settings.rules.watch_renewal_period
+        self.watch = WatchSchedule(WATCH, agents=agents, renewal=renewal, source=self.random)
+        self.statistics = FleetStatistics(STATISTICS, self.server_list)
+        self.rollout_test = RolloutTest(settings, self.schedule, self.shared_health, self.statistics)
+        self.learning = Learning(self.statistics, self.shared_health)
+        self.guards = AttemptGuards(settings, self.server_list, self.statistics, self.rollout_test)
+        self.routing = Routing(settings, self.random, self.guards)
+        self.placement = PlacementPolicy(settings, self.random, self.routing)
+        self.admission = self.placement.admission
+        self.lifecycle = RequestLifecycle(settings, self.placement, self.learning, self.rollout_test)
+        self._handlers: dict[type, Callable[[Microseconds, Any], Iterable[api.Action] | None]] = {
+            api.RequestArrived: self.lifecycle.arrive,
+            api.AttemptEnded: self.lifecycle.attempt_ended,
+            api.TimerFired: self._timer_fired,
+            api.GossipReceived: self._gossip_received,
+            api.ServerListUpdated: self._server_list_updated,
+            api.RolloutState: self._rollout_moved,
+            api.HealthCheckEnded: self._health_check_ended,
+            api.AnswerDisputed: self._answer_disputed,
+            api.StreamStarted: self._stream_started,
+            api.ClientDisconnected: self._client_disconnected,
+            api.ServerDegraded: self._server_degraded,
+        }
+
+    @property
+    def servers(self) -> dict[int, ServerState]:
+        """All listed servers by id."""
+        return self.server_list.by_id
+
+    @property
+    def requests(self) -> dict[str, PendingRequest]:
+        """The requests taken and not yet forgotten, by name."""
+        return self.lifecycle.by_name
+
+    @property
+    def ejections(self) -> OutlierEjections:
+        """The servers that turned slow in the middle of an exchange."""
+        return self.routing.ejections
+
+    def start(self, now: Microseconds) -> list[api.Action]:
+        """The first actions of a new instance."""
+        self.watch.start(now)
+        self.actions = [self._exchange_timer(now)]
+        return self.actions
+
+    def handle(self, now: Microseconds, event: api.Event) -> list[api.Action]:
+        """Answer one event. After an exception, `actions` has what was decided until then."""
+        actions = self.actions = []
+        handler = self._handlers.get(type(event))
+        if handler and (decided := handler(now, event)):
+            actions.extend(decided)
+        return actions
+
+    def may_write(self, now: Microseconds, request: str, attempt: int) -> bool:
+        """Whether an attempt may still go out: to be asked just before its first byte."""
+        return self.lifecycle.may_write(now, request, attempt)
+
+    # ---- servers -----------------------------------------------------------------------------------
+
+    def _server_list_updated(self, now: Microseconds, event: api.ServerListUpdated) -> None:
+        if event.kind is ServerListKind.FAILED:
+            self.watch.failed(now)
+            return
+        if event.kind is not ServerListKind.CACHED:  # which nobody was asked for
+            self.watch.renew(now)
+        self.watch.succeeded()
+        for server in self.server_list.update(now, event.kind, event.servers):
+            self.routing.ejections.forget(server)
+        self._regroup()
+
+    def _regroup(self) -> None:
+        self.routing.regroup()
+        under_test = [server.incarnation for server in self.routing.under_test]
+        self.shared_health.update_fleet(self.server_list.incarnations(), under_test)
+
+    def _server_degraded(self, now: Microseconds, event: api.ServerDegraded) -> None:
+        self.routing.ejections.record_degraded(now, event.server, len(self.server_list.available))
+
+    def _health_check_ended(self, now: Microseconds, event: api.HealthCheckEnded) -> None:
+        server = self.server_list.by_id.get(event.server)
+        if server and event.outcome is Outcome.SUCCESS:
+            server.heard_at = now
+            self.statistics.record_load(now, server, event.load)
+
+    # ---- requests ----------------------------------------------------------------------------------
+
+    def _stream_started(self, _: Microseconds, event: api.StreamStarted) -> None:
+        self.lifecycle.stream_started(event)
+
+    def _client_disconnected(self, _: Microseconds, event: api.ClientDisconnected) -> None:
+        self.lifecycle.client_disconnected(event)
+
+    def _timer_fired(self, now: Microseconds, event: api.TimerFired) -> Iterable[api.Action]:
+        return (
+            self._exchange(now) if event.token == EXCHANGE_TIMER else self.lifecycle.timer_fired(now, event)
+        )
+
+    # ---- rollouts ----------------------------------------------------------------------------------
+
+    def _rollout_moved(self, now: Microseconds, state: api.RolloutState) -> None:
+        if state.reply in (VoteReply.NONE, VoteReply.COUNTED):
+            self.guards.exposure.update(now, state)
+            if self.rollout_test.update(now, state):
+                self._forget_obsolete(state.build)
+                self._regroup()
+        if state.reply in (VoteReply.OVERLOADED, VoteReply.ERROR, VoteReply.UNKNOWN):
+            self.rollout_test.retry_vote(now, self.random)
+
+    def _forget_obsolete(self, newest: int) -> None:
+        # Where builds follow one another all day, what is kept of each would add up.
+        self.guards.exposure.forget_keys(newest)
+        baseline = self.rollout_test.outcomes.baseline(newest)
+        for build in [*self.statistics.profiles, *self.guards.exposure.log.builds()]:
+            if self.rollout_test.outcomes.is_obsolete(build, baseline):
+                self.statistics.forget(build)
+                self.guards.exposure.log.forget(build)
+
+    def _answer_disputed(self, now: Microseconds, event: api.AnswerDisputed) -> None:
+        server = self.server_list.by_id.get(event.server)
+        if server and server.age(now) > event.age:  # else it was another build's, or another start's
+            self.rollout_test.record_dispute(server.info.build)
+
+    # ---- exchanges with other agents ---------------------------------------------------------------
+
+    def _gossip_received(self, _: Microseconds, event: api.GossipReceived) -> None:
+        self.exchange.receive(event.sender, event.text, self.rollout_test.test)
+
+    def _exchange_timer(self, now: Microseconds) -> api.SetTimer:
+        # By the clock: agents exchange in step.
+        return api.SetTimer(self.schedule.period - now % self.schedule.period, EXCHANGE_TIMER)
+
+    def _exchange(self, now: Microseconds) -> Iterable[api.Action]:
+        yield self._exchange_timer(now)
+        if self.settings.needs_watch and self.watch.is_due(now):
+            self.watch.renew(now)
+            yield api.WatchServerList()
+        last, rollout, test = self.schedule.advance(now), self.settings.rollout, self.rollout_test.test
+        if rollout is None:
+            return
+        self.exchange.end_turn(last, test)
+        if self.schedule.begins_round:
+            self._end_round(now, test)
+        if self.settings.limits.gossip and (message := self.exchange.message(test)):
+            yield message
+        if test:
+            yield from self.rollout_test.cast_vote(now, test, rollout)
+
+    def _end_round(self, now: Microseconds, test: SequentialTest | None) -> None:
+        duration, available = self.schedule.round_duration, self.server_list.available
+        self.shared_health.end_round(duration)
+        zones = [(server.incarnation, server.info.zone) for server in available]
+        avoided = self.shared_health.servers_to_avoid(zones, self.random.random)
+        for server in available:
+            server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
+            if server.incarnation in avoided:
+                server.ejected_until = max(server.ejected_until, now + duration)
+        if test:
+            self.rollout_test.end_round(now, test)
--- a/frostfall/mechanisms/fleet_statistics.py
+++ b/frostfall/mechanisms/fleet_statistics.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from collections import defaultdict
 from dataclasses import dataclass
 
@@ -104,7 +105,7 @@
         # Avoiding a failing build under test would end the evidence on it, and avoiding only the failing
         # servers of its baseline would flatter that. So a server is held against others of its build.
         profile = self.profiles[server.info.build]
-        retained = server.retained(now, self._parameters.server_memory)
+        retained = math.exp((server.learned_at - now) / self._parameters.server_memory)
         # An agent that asks a server now and then forgets its errors before it meets the next.
         error_rate = max(server.error_rate * retained, server.shared_error_rate)
         errors = min(max(error_rate - profile.error_rate, 0.0), max_excess_errors)
--- a/frostfall/model/fleet.py
+++ b/frostfall/model/fleet.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 
 from frostfall import interface as api
+from frostfall.engine.policy_engine import PolicyEngine
 from frostfall.model.servers import Server
-from frostfall.policy.engine import PolicyEngine
 
 Micros = int
 SECOND: Micros = 1_000_000
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -17,6 +17,7 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall.config import Address, Config, ConfigError, address
+from frostfall.engine.policy_engine import PolicyEngine
 from frostfall.limits.slow_peer_detector import SlowPeerDetector
 from frostfall.net.client_connections import ClientConnection, ClientConnections, open_listener
 from frostfall.net.clock import Clock, TimerQueue
@@ -26,7 +27,6 @@
 from frostfall.net.rollout_client import RolloutClient
 from frostfall.net.streams import SocketBudget
 from frostfall.net.upstream_pool import UpstreamAttempt, UpstreamPool
-from frostfall.policy.engine import PolicyEngine
 from frostfall.protocol import entries, statement
 from frostfall.protocol.ending import Ending, Final, Progress
 from frostfall.protocol.listing import Listing
--- /dev/null
+++ b/frostfall/policy/guards.py
@@ -0,0 +1,139 @@
+"""The rules that every attempt and every rejection has to pass (types: frostfall/interface.py)."""
+
+import math
+
+from frostfall import interface as api
+from frostfall.interface import Availability, Idempotency, Microseconds, RolloutPhase
+from frostfall.mechanisms.exposure_log import ExposureLog
+from frostfall.mechanisms.fleet_statistics import FleetStatistics
+from frostfall.mechanisms.poisson import safe_utilization
+from frostfall.mechanisms.server_list import ServerList
+from frostfall.policy.rollout_test import RolloutTest
+from frostfall.records import Attempt, PendingRequest, ServerState
+
+SAFE_DEVIATIONS = 2.0  # standard deviations of chance that the warm-up budget keeps clear of
+MIN_WARM_UP_RATE = 1.0  # sends a second that it allows all agents together at least
+
+
+class ExposureGuard:
+    """Keeps the attempts at a build under rollout within its cap."""
+
+    def __init__(self, settings: api.Settings, servers: ServerList) -> None:
+        self.rollout, self.servers, self.drain_grace = settings.rollout, servers, settings.rules.drain_grace
+        self.state: api.RolloutState | None = None
+        self.first_covered_build = math.inf  # builds from this one on are under rollout, announced or not
+        self.log = ExposureLog(settings.rollout.exposure_window if settings.rollout else 0)
+        self.latest_builds = dict[str, int]()  # that answered a key, where keys only go forward
+
+    def group(self, request_class: api.RequestClass) -> str:
+        """The requests that one of this class counts with."""
+        return request_class.name if self.rollout and self.rollout.exposure_per_class else ""
+
+    def update(self, now: Microseconds, state: api.RolloutState) -> None:
+        """Follow the rollout."""
+        if self.state and state.cap < self.state.cap:
+            self.log.restart_at(now + self.drain_grace)
+        self.state = state
+        if self.rollout:
+            self.first_covered_build = state.build + (state.phase is RolloutPhase.RELEASED)
+
+    def allows(self, now: Microseconds, request: PendingRequest, build: int) -> bool:
+        """Whether a request may be sent to a build."""
+        rollout, state = self.rollout, self.state
+        if rollout is None or state is None:  # not known yet: only the lowest build cannot be on trial
+            return rollout is None or build == self.servers.lowest_build
+        if rollout.forward_only_keys and self._was_answered_later(request, state, build):
+            return False
+        if build < self.first_covered_build:
+            return True
+        stage, cap = (state.stage, state.cap) if build == state.build else (0, rollout.stage_caps[0])
+        if cap <= 0 or (stage < rollout.idempotent_only_stages and not request.request_class.idempotent):
+            return False
+        # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
+        counts = self.log.counts(now, build, request.exposure_group)
+        return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.taken
+
+    def _was_answered_later(self, request: PendingRequest, state: api.RolloutState, build: int) -> bool:
+        is_live = state.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED)
+        return is_live and build < self.latest_builds.get(request.arrival.key or "", 0)
+
+    def record_success(self, request: PendingRequest, build: int) -> None:
+        """A build has answered: where keys only go forward, earlier ones get this key no more."""
+        key, rollout = request.arrival.key, self.rollout
+        if key and rollout and rollout.forward_only_keys and build >= self.first_covered_build:
+            self.latest_builds[key] = build
+
+    def forget_keys(self, newest: int) -> None:
+        """Forget the keys that builds before the newest one have answered."""
+        self.latest_builds = {key: build for key, build in self.latest_builds.items() if build >= newest}
+
+
+class AttemptGuards:
+    """Says what is allowed, whatever other policies would choose."""
+
+    def __init__(
+        self, settings: api.Settings, servers: ServerList, statistics: FleetStatistics, test: RolloutTest
+    ) -> None:
+        self.limits, self.rules, self.servers = settings.limits, settings.rules, servers
+        self.statistics, self.rollout_test = statistics, test
+        self.exposure = ExposureGuard(settings, servers)
+
+    def may_send(self, now: Microseconds, request: PendingRequest, server: ServerState) -> bool:
+        """Whether a new attempt may begin."""
+        if not self._allows(now, request, server, request.attempts):
+            return False
+        return server.age(now) >= self.rules.warm_up_duration or self._accrue_credit(now, server) >= 1
+
+    def may_write(self, now: Microseconds, request: PendingRequest, attempt: Attempt) -> bool:
+        """Whether an attempt that has begun may still go out; its exposure counts from now, if it may."""
+        # While it waits for a connection, a grace or window ends, a cap falls, its server restarts.
+        build, group = attempt.server.info.build, request.exposure_group
+        self.exposure.log.withdraw_sent(attempt.sent_at, build, group)
+        others = [other for other in request.attempts if other is not attempt]
+        if allowed := self._allows(now, request, attempt.server, others):  # its warm-up budget is paid
+            self.exposure.log.record_sent(now, build, group)
+        return allowed
+
+    def _allows(
+        self, now: Microseconds, request: PendingRequest, server: ServerState, earlier: list[Attempt]
+    ) -> bool:
+        if request.done or now >= request.arrival.deadline or len(earlier) >= self.limits.max_attempts:
+            return False
+        info = server.info
+        if info.availability is not Availability.UP or self.servers.by_id.get(info.id) is not server:
+            return False
+        parallel = self.limits.parallel_attempts and request.request_class.idempotent
+        for attempt in earlier:
+            if attempt.outcome is None and not parallel:
+                return False
+            if attempt.may_have_run and not self._may_repeat(now, request, attempt, info):
+                return False
+        return self.exposure.allows(now, request, info.build)
+
+    def _may_repeat(
+        self, now: Microseconds, request: PendingRequest, earlier: Attempt, target: api.Server
+    ) -> bool:
+        request_class = request.request_class
+        if request_class.idempotency is not Idempotency.KEYED:
+            return request_class.idempotent
+        in_scope = request_class.deduplicates_between(earlier.server.info, target)
+        return in_scope and now - earlier.sent_at < request_class.deduplication_window
+
+    def may_reject(self, request: PendingRequest) -> bool:
+        """Whether a client that tries again does no harm."""
+        harmless = request.request_class.repeatable_anywhere
+        return harmless or not any(attempt.may_have_run for attempt in request.attempts)
+
+    def _accrue_credit(self, now: Microseconds, server: ServerState) -> float:
+        # Our part of what a server carries (served: more may be asked than can be done), times its least
+        # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
+        # A fleet all cold serves less, and would be allowed less still. What was carried counts.
+        self.statistics.served(now)
+        own, window = self.statistics.throughput.peak_per_server, self.rules.overload_window
+        multiple = self.rules.overload_multiple * server.warmth(now, self.rules)
+        test = self.rollout_test.test
+        everyone = max(own, test.pooled_served_per_server if test else 0.0)
+        budget = max(multiple * everyone * window / 1e6, 1e-9)
+        rate = multiple * own * safe_utilization(budget, SAFE_DEVIATIONS)
+        least = MIN_WARM_UP_RATE / self.rollout_test.schedule.agents
+        return server.accrue_credit(now, max(rate, least), window)
--- a/frostfall/records.py
+++ b/frostfall/records.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from frostfall import interface as api
 from frostfall.interface import DeduplicationScope, Idempotency, Microseconds, Outcome, Verdict
@@ -56,8 +57,10 @@
 
     def warmth(self, now: Microseconds, rules: api.Rules) -> float:
         """The least share of its full capacity that it can have while it warms up."""
-        progress = min(1.0, max(0.0, self.age(now) / max(rules.warm_up_duration, 1)))
-        return rules.warm_up_initial_share + (1 - rules.warm_up_initial_share) * progress
+        initial, age = rules.warm_up_initial_share, self.age(now)
+        if age >= rules.warm_up_duration:
+            return initial + (1 - initial)
+        return initial + (1 - initial) * (max(age, 0) / max(rules.warm_up_duration, 1))
 
     def load(self, now: Microseconds, typical_others: float, memory: Microseconds) -> float:
         """Requests in flight there with one more, by its size.
@@ -83,13 +86,9 @@
         """A send goes out."""
         self.warm_up_credit = max(self.warm_up_credit - 1, 0.0)
 
-    def retained(self, now: Microseconds, memory: Microseconds) -> float:
-        """The part of what was learned of its slowness and errors that still counts."""
-        return math.exp((self.learned_at - now) / memory)
-
     def fade(self, now: Microseconds, memory: Microseconds) -> None:
         """Let slowness and errors fade to the usual ones as time passes."""
-        retained = self.retained(now, memory)
+        retained = math.exp((self.learned_at - now) / memory)
         self.error_rate *= retained
         self.slowness = 1 + (self.slowness - 1) * retained
         self.learned_at = now
@@ -138,13 +137,35 @@
     @property
     def attempts_ended(self) -> bool:
         """Whether no attempt is out."""
-        return all(attempt.outcome is not None for attempt in self.attempts)
+        return None not in [attempt.outcome for attempt in self.attempts]
 
     def attempts_out(self) -> Iterator[int]:
         """The numbers of the attempts that are out."""
         return (number for number, attempt in enumerate(self.attempts) if attempt.outcome is None)
 
 
+class RoutingChoice(NamedTuple):
+    """A server that a request may go to."""
+
+    server: ServerState
+    load: float
+    mean_load: float  # of the servers that it is compared with
+    sharpness: float  # the power of its cost in the choice
+
+    @property
+    def relative_load(self) -> float:
+        """The load by the mean, at least 1."""
+        return max(1.0, self.load / self.mean_load)
+
+
+class Placement(NamedTuple):
+    """Where a request goes, or whether it waits; with neither, it is given up."""
+
+    choice: RoutingChoice | None
+    waits: bool
+    health_check: ServerState | None  # a server to be checked on this occasion
+
+
 def unknown_class(name: str, left: Microseconds) -> api.RequestClass:
     """A class that the settings do not name, of which the least is promised."""
     return api.RequestClass(
--- a/frostfall/wirehost/host.py
+++ b/frostfall/wirehost/host.py
@@ -5,7 +5,7 @@
 from typing import BinaryIO, TextIO
 
 from frostfall import interface as api
-from frostfall.policy.engine import PolicyEngine
+from frostfall.engine.policy_engine import PolicyEngine
 from frostfall.settings import SettingsError, decode
 from frostfall.wirehost import codec
 from frostfall.wirehost import messages as wire
