--- a/frostfall/storage/segment_codec.py
+++ b/frostfall/storage/segment_codec.py
@@ -1,12 +1,13 @@
-"""A segment of the log as bytes: a preamble, then frames, each with a checksum (CRC-32C, RFC 3720).
+"""Codec for the segments of the write-ahead log: a preamble, then frames, each with a CRC-32C (RFC 3720).
 
-    segment  = "FFLG" u16 format u16 0, frame(HEADER), frame(BATCH | SYNCED)*
-    frame    = mark, u32 length, u8 kind, u64 number, u32 crc(kind, number, payload), payload
-    batch    = record*;   record = u32 length, u8 state, u64 key, u64 old place or 0, payload
+    segment  = "FFLG" u16 format version, u16 0, frame(HEADER), frame(BATCH | SYNCED)*
+    frame    = marker, u32 length, u8 kind, u64 number, u32 crc(kind, number, payload), payload
+    batch    = record*;   record = u32 length, u8 state, u64 key, u64 previous location or 0, payload
 
-All little endian. Batches are numbered through all segments, with no gap. One is written only after the one
-before it is on disk, and a SYNCED mark with its number follows it, itself not synced: so a bad frame with a
-good one behind it was whole once.
+All integers are little endian. Batches are numbered without a gap across all segments. A batch is written
+only after the previous one has been synced, and is followed by a SYNCED frame with its number, which is not
+synced itself. A bad frame that has a valid frame behind it was therefore intact once: it is corruption, not a
+torn write.
 """
 
 from __future__ import annotations
@@ -15,27 +16,29 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 from crc32c import crc32c
 
 FORMAT_VERSION = 2
-OLDEST_FORMAT_VERSION = (
-    1  # the oldest format that is read: its records have no old place, and its headers name no store
-)
+# Version 1 has no previous location in its records and no store id in its headers.
+OLDEST_FORMAT_VERSION = 1
 SEGMENT_MAGIC = b"FFLG"
 FRAME_MARKER = b"\xf5\x1e"
 PREAMBLE = struct.Struct("<4sHH")
-RECORD_HEADER_V1 = struct.Struct("<IBQ")  # of format 1
 FRAME_HEADER = struct.Struct("<2sIBQI")
 RECORD_HEADER = struct.Struct("<IBQQ")
-_SUMMED = struct.Struct("<BQ")
-ANY_LOCATION = 1  # for an old place, in format 1: whichever the key has; no place in a log is this number
-MAX_PAYLOAD_BYTES = 1 << 26  # bytes: more in one frame is no frame of ours
+RECORD_HEADER_V1 = struct.Struct("<IBQ")
+# Previous location of all records of format version 1: whichever the key has. No real location equals it.
+ANY_LOCATION = 1
+MAX_PAYLOAD_BYTES = 1 << 26  # of one frame
+
+_CHECKSUMMED_FIELDS = struct.Struct("<BQ")  # kind and number of a frame
 
 
 class FrameKind(IntEnum):
-    """Kinds of frames."""
+    """Kinds of frames, as stored."""
 
     HEADER = 1
     BATCH = 2
@@ -43,206 +46,258 @@
 
 
 class RecordState(IntEnum):
-    """What a record says of its key; a FACT has none and is handed to the owner as it is."""
+    """What a record says of its key, as stored. METADATA has no key and is handed to the owner as it is."""
 
     METADATA = 0
-    OPEN = 1  # begun, with no end known
-    SERVED = 2  # ended, with an answer
-    FAILED = 3  # ended, and it may have run
-    NOT_EXECUTED = 4  # ended, and it never ran: as if it had not been
-    FENCED = 6  # of a copy: settled by others as never begun, and never to be begun by its owner
-    OUTCOME_UNKNOWN = 5  # open when the owner's life ended: it may have run, and nobody will ever know
+    OPEN = 1  # started, outcome not recorded yet
+    SERVED = 2  # ended with an answer
+    FAILED = 3  # ended with an error, and may have been executed
+    NOT_EXECUTED = 4  # ended without having been executed: as if it had never started
+    OUTCOME_UNKNOWN = 5  # open when its owner's incarnation ended: it may have been executed
+    FENCED = 6  # on a replica: a quorum has settled that it never started, and its owner must not start it
 
 
 class SegmentHeader(msgspec.Struct, frozen=True):
-    """What a segment says of itself."""
+    """Payload of a segment's first frame; the names of its fields are stored."""
 
     owner: str
     segment: int
-    first: int  # the oldest segment that counts
-    batch: int  # the number of its first batch
-    elapsed: float  # seconds that the owner had run, over all its lives, when it was begun
-    store: str = ""  # made up once for each folder
+    oldest_segment: int = msgspec.field(name="first")  # still in use when this one was started
+    first_batch: int = msgspec.field(name="batch")
+    # Seconds that the owner had run, summed over its incarnations, when the segment was started.
+    elapsed_seconds: float = msgspec.field(name="elapsed")
+    store_id: str = msgspec.field(name="store", default="")  # random, made once for each directory
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record to be written."""
+    """A record to be written."""
 
     state: RecordState
     key: int
     payload: bytes
-    previous_location: int = 0  # the place, as from `place_of`, that its key leaves for this one
+    previous_location: int = 0  # packed location of the record that this one replaces, or 0
 
 
-def encode_frame(kind: FrameKind, number: int, payload: bytes) -> bytes:
-    """One frame."""
-    checksum = crc32c(payload, crc32c(_SUMMED.pack(kind, number)))
-    return FRAME_HEADER.pack(FRAME_MARKER, len(payload), kind, number, checksum) + payload
+class DecodedRecord(NamedTuple):
+    """A record read back at a known offset."""
 
+    state: RecordState
+    key: int
+    payload: bytes
 
-def encode_segment_start(header: SegmentHeader) -> bytes:
-    """The first bytes of a segment."""
-    return PREAMBLE.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0) + encode_frame(
-        FrameKind.HEADER, header.segment, msgspec.msgpack.encode(header)
-    )
 
+class Frame(NamedTuple):
+    """A frame with a valid checksum."""
+
+    kind: FrameKind
+    number: int
+    payload: memoryview
+
+    @property
+    def encoded_size(self) -> int:
+        """Bytes of the whole frame."""
+        return FRAME_HEADER.size + len(self.payload)
 
-def encode_batch(number: int, records: list[Record]) -> tuple[bytes, list[int]]:
-    """The frame of a batch, and where in it each record stands."""
-    parts: list[bytes] = []
-    places, at = [], FRAME_HEADER.size
-    for record in records:
-        places.append(at)
-        parts += (
-            RECORD_HEADER.pack(len(record.payload), record.state, record.key, record.previous_location),
-            record.payload,
-        )
-        at += RECORD_HEADER.size + len(record.payload)
-    return encode_frame(FrameKind.BATCH, number, b"".join(parts)), places
+
+class EncodedBatch(NamedTuple):
+    """A batch as a frame, with the offset in it of each record."""
+
+    data: bytes
+    record_offsets: list[int]
 
 
 class SegmentEnd(IntEnum):
-    """How a segment ends."""
+    """How the content of a segment ends."""
 
     COMPLETE = 0
-    TORN = 1  # its last write did not go through: it was never told to be on disk
-    CORRUPTED = 2  # something that was on disk is not as it was written
-    NEWER_FORMAT = 3  # a format that this version does not know
+    TORN = 1  # the last write was interrupted, and had never been reported as durable
+    CORRUPTED = 2  # something that was durable is missing or changed
+    NEWER_FORMAT = 3  # written in a format version that this program does not know
 
 
 @dataclass(slots=True)
 class SegmentScan:
-    """What was read of a segment."""
+    """Result of reading a segment."""
 
     header: SegmentHeader | None = None
     format_version: int = FORMAT_VERSION
     end: SegmentEnd = SegmentEnd.COMPLETE
-    valid_bytes: int = 0  # bytes up to where all is as written
-    last_batch: int = 0  # the number of the last good batch; that before the first one where there is none
-    reason: str = ""
+    reason: str = ""  # of an end other than COMPLETE
+    valid_bytes: int = 0  # length of the prefix that is intact
+    last_batch: int = 0  # number of the last valid batch; one less than the first where there is none
     batch_count: int = 0
-    last_synced_batch: int = 0  # the highest batch that is marked as synced
+    last_synced_batch: int = 0  # highest batch that a SYNCED frame names
 
+    def finish(self, end: SegmentEnd, reason: str) -> None:
+        """Record how the segment ends, other than COMPLETE."""
+        self.end = end
+        self.reason = reason
 
-ScannedRecord = tuple[RecordState, int, int, int, memoryview]  # state, key, old place, offset, payload
+
+# State (as a plain integer), key, previous location, offset in the segment, payload. A plain tuple, as a
+# start reads every record of the log.
+ScannedRecord = tuple[RecordState, int, int, int, memoryview]
 RecordVisitor = Callable[[RecordState, int, int, int, memoryview], None]
 
 
-def _frame_at(data: memoryview, at: int) -> tuple[FrameKind, int, memoryview] | None:
-    """The frame that stands here, if a good one does."""
-    if at + FRAME_HEADER.size > len(data):
+def encode_frame(kind: FrameKind, number: int, payload: bytes) -> bytes:
+    """Encode one frame."""
+    return (
+        FRAME_HEADER.pack(FRAME_MARKER, len(payload), kind, number, _checksum(kind, number, payload))
+        + payload
+    )
+
+
+def encode_segment_start(header: SegmentHeader) -> bytes:
+    """Encode the preamble and header frame that a segment begins with."""
+    preamble = PREAMBLE.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0)
+    return preamble + encode_frame(FrameKind.HEADER, header.segment, msgspec.msgpack.encode(header))
+
+
+def encode_batch(number: int, records: list[Record]) -> EncodedBatch:
+    """Encode a batch of records as one frame."""
+    parts: list[bytes] = []
+    offsets: list[int] = []
+    offset = FRAME_HEADER.size
+    for record in records:
+        offsets.append(offset)
+        parts += (
+            RECORD_HEADER.pack(len(record.payload), record.state, record.key, record.previous_location),
+            record.payload,
+        )
+        offset += RECORD_HEADER.size + len(record.payload)
+    return EncodedBatch(encode_frame(FrameKind.BATCH, number, b"".join(parts)), offsets)
+
+
+def decode_frame(data: memoryview, offset: int) -> Frame | None:
+    """Decode the frame at an offset; None where there is no complete frame with a valid checksum."""
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    mark, length, kind, number, checksum = FRAME_HEADER.unpack_from(data, at)
-    end = at + FRAME_HEADER.size + length
-    if mark != FRAME_MARKER or length > MAX_PAYLOAD_BYTES or end > len(data) or kind not in (1, 2, 3):
+    marker, length, kind, number, checksum = FRAME_HEADER.unpack_from(data, offset)
+    end = offset + FRAME_HEADER.size + length
+    if marker != FRAME_MARKER or length > MAX_PAYLOAD_BYTES or end > len(data) or kind not in (1, 2, 3):
         return None
-    payload = data[at + FRAME_HEADER.size : end]
-    if crc32c(payload, crc32c(_SUMMED.pack(kind, number))) != checksum:
+    payload = data[offset + FRAME_HEADER.size : end]
+    if _checksum(kind, number, payload) != checksum:
         return None
-    return FrameKind(kind), number, payload
+    return Frame(FrameKind(kind), number, payload)
 
 
-def _good_behind(data: memoryview, at: int) -> bool:
-    """Whether a good frame stands anywhere behind this place."""
-    raw = bytes(data[at + 1 :])
-    place = raw.find(FRAME_MARKER)
-    while place >= 0:
-        if _frame_at(data, at + 1 + place):
-            return True
-        place = raw.find(FRAME_MARKER, place + 1)
-    return False
+def decode_record(raw: bytes, format_version: int = FORMAT_VERSION) -> DecodedRecord | None:
+    """Decode the record that `raw` begins with; None where it holds no complete one."""
+    header = _record_header(format_version)
+    if len(raw) < header.size:
+        return None
+    length, state, key, *_ = header.unpack_from(raw)
+    if len(raw) < header.size + length or state > RecordState.FENCED:
+        return None
+    return DecodedRecord(RecordState(state), key, raw[header.size : header.size + length])
 
 
 def scan_segment(raw: bytes, is_last: bool, visit: RecordVisitor) -> SegmentScan:
-    """Read a segment and hand over its records in order; `last`: nothing was written after it.
+    """Read a segment and pass its records to `visit` in order.
 
-    What comes back says how it ends. Records before a torn or damaged place have been handed over.
+    `is_last` says that no later segment exists, so that its last write may be torn. Records in front of a
+    torn or corrupted place have been visited when this returns.
     """
-    found = SegmentScan()
-    for record in iter_records(raw, is_last, found):
+    scan = SegmentScan()
+    for record in iter_records(raw, is_last, scan):
         visit(*record)
-    return found
+    return scan
 
 
 def iter_records(raw: bytes, is_last: bool, scan: SegmentScan) -> Iterator[ScannedRecord]:
-    """The same one by one; `found` is filled meanwhile."""
-    data, version = memoryview(raw), FORMAT_VERSION
-    if len(data) >= PREAMBLE.size:
-        magic, version, zero = PREAMBLE.unpack_from(data)
-        if magic == SEGMENT_MAGIC and version > FORMAT_VERSION:
-            scan.end, scan.reason = (
-                SegmentEnd.NEWER_FORMAT,
-                f"format {version}, and this version reads up to {FORMAT_VERSION}",
-            )
-            return
-        if magic == SEGMENT_MAGIC and version >= OLDEST_FORMAT_VERSION and zero == 0:
-            scan.format_version = version
-            first = _frame_at(data, PREAMBLE.size)
-            if first and first[0] is FrameKind.HEADER:
-                try:
-                    scan.header = msgspec.msgpack.decode(first[2], type=SegmentHeader)
-                except msgspec.MsgspecError as error:
-                    scan.end, scan.reason = SegmentEnd.CORRUPTED, f"header: {error}"
-                    return
+    """Yield the records of a segment in order; `scan` is filled on the way. See `scan_segment`."""
+    data = memoryview(raw)
+    offset = _scan_header(data, is_last, scan)
     if scan.header is None:
-        # Danger: a segment is told to be on disk header and all. Only the last one may have no header yet.
-        scan.end = SegmentEnd.TORN if is_last and not _good_behind(data, -1) else SegmentEnd.CORRUPTED
-        scan.reason = "no header that can be read"
         return
-    at = PREAMBLE.size + FRAME_HEADER.size + len(first[2])  # type: ignore[index]
-    scan.last_batch = scan.header.batch - 1
-    while at < len(data):
-        here = _frame_at(data, at)
-        if here is None:
-            _judge(scan, data, at, is_last)
+    scan.last_batch = scan.header.first_batch - 1
+    while offset < len(data):
+        frame = decode_frame(data, offset)
+        if frame is None:
+            _classify_bad_frame(scan, data, offset, is_last)
             break
-        kind, number, payload = here
-        if kind is FrameKind.BATCH:
-            if number != scan.last_batch + 1:
-                scan.end, scan.reason = SegmentEnd.CORRUPTED, f"batch {number} behind {scan.last_batch}"
+        if frame.kind is FrameKind.BATCH:
+            if frame.number != scan.last_batch + 1:
+                reason = f"batch {frame.number} behind {scan.last_batch}"
+                scan.finish(SegmentEnd.CORRUPTED, reason)
                 break
-            yield from _records(payload, at + FRAME_HEADER.size, version)
-            scan.last_batch, scan.batch_count = number, scan.batch_count + 1
-        elif kind is FrameKind.SYNCED:
-            scan.last_synced_batch = number
-        at += FRAME_HEADER.size + len(payload)
-    scan.valid_bytes = at
+            yield from iter_batch_records(frame.payload, offset + FRAME_HEADER.size, scan.format_version)
+            scan.last_batch = frame.number
+            scan.batch_count += 1
+        elif frame.kind is FrameKind.SYNCED:
+            scan.last_synced_batch = frame.number
+        offset += frame.encoded_size
+    scan.valid_bytes = offset
     if scan.last_synced_batch > scan.last_batch and scan.end is not SegmentEnd.CORRUPTED:
-        scan.end, scan.reason = (
-            SegmentEnd.CORRUPTED,
-            f"batch {scan.last_synced_batch} was on disk and is not here",
-        )
+        scan.finish(SegmentEnd.CORRUPTED, f"batch {scan.last_synced_batch} was on disk and is not here")
 
 
-def _judge(found: SegmentScan, data: memoryview, at: int, last: bool) -> None:
-    """Tell a torn tail from damage."""
-    # Danger: the mark behind a segment's last batch is not synced, and may be torn though others follow.
-    # Which batch they begin with tells whether it was no more than that.
-    if (last or len(data) - at <= FRAME_HEADER.size) and not _good_behind(data, at):
-        found.end, found.reason = (
-            SegmentEnd.TORN,
-            f"{len(data) - at} bytes of a write that did not go through",
-        )
-    else:
-        found.end, found.reason = SegmentEnd.CORRUPTED, f"byte {at} and what follows is not as it was written"
+def iter_batch_records(payload: memoryview, base_offset: int, format_version: int) -> Iterator[ScannedRecord]:
+    """Yield the records of a batch frame's payload, which begins at `base_offset` of its segment."""
+    header = _record_header(format_version)
+    unpack = header.unpack_from
+    size = header.size
+    offset = 0
+    while offset < len(payload):
+        length, state, key, *previous = unpack(payload, offset)
+        location = previous[0] if previous else ANY_LOCATION
+        yield state, key, location, base_offset + offset, payload[offset + size : offset + size + length]
+        offset += size + length
 
 
-def _records(payload: memoryview, base: int, version: int) -> Iterator[ScannedRecord]:
-    at, shape = 0, RECORD_HEADER_V1 if version == 1 else RECORD_HEADER
-    unpack, size = shape.unpack_from, shape.size
-    while at < len(payload):
-        length, state, key, *old = unpack(payload, at)
-        yield state, key, old[0] if old else ANY_LOCATION, base + at, payload[at + size : at + size + length]
-        at += size + length
+def _record_header(format_version: int) -> struct.Struct:
+    return RECORD_HEADER_V1 if format_version == 1 else RECORD_HEADER
 
 
-def decode_record(raw: bytes, format_version: int = FORMAT_VERSION) -> tuple[RecordState, int, bytes] | None:
-    """The record that these bytes begin with, or None where they hold none."""
-    shape = RECORD_HEADER_V1 if format_version == 1 else RECORD_HEADER
-    if len(raw) < shape.size:
-        return None
-    length, state, key, *_ = shape.unpack_from(raw)
-    if len(raw) < shape.size + length or state > RecordState.FENCED:
-        return None
-    return RecordState(state), key, raw[shape.size : shape.size + length]
+def _checksum(kind: int, number: int, payload: bytes | memoryview) -> int:
+    return crc32c(payload, crc32c(_CHECKSUMMED_FIELDS.pack(kind, number)))
+
+
+def _has_valid_frame_after(data: memoryview, offset: int) -> bool:
+    """Whether a valid frame begins anywhere behind this offset."""
+    remainder = bytes(data[offset + 1 :])
+    position = remainder.find(FRAME_MARKER)
+    while position >= 0:
+        if decode_frame(data, offset + 1 + position):
+            return True
+        position = remainder.find(FRAME_MARKER, position + 1)
+    return False
+
+
+def _scan_header(data: memoryview, is_last: bool, scan: SegmentScan) -> int:
+    """Read preamble and header and return the offset behind them; an unusable header stays None in `scan`."""
+    if len(data) >= PREAMBLE.size:
+        magic, version, reserved = PREAMBLE.unpack_from(data)
+        if magic == SEGMENT_MAGIC and version > FORMAT_VERSION:
+            reason = f"format {version}, and this version reads up to {FORMAT_VERSION}"
+            scan.finish(SegmentEnd.NEWER_FORMAT, reason)
+            return 0
+        if magic == SEGMENT_MAGIC and version >= OLDEST_FORMAT_VERSION and reserved == 0:
+            scan.format_version = version
+            frame = decode_frame(data, PREAMBLE.size)
+            if frame and frame.kind is FrameKind.HEADER:
+                try:
+                    scan.header = msgspec.msgpack.decode(frame.payload, type=SegmentHeader)
+                except msgspec.MsgspecError as error:
+                    scan.finish(SegmentEnd.CORRUPTED, f"header: {error}")
+                    return 0
+                return PREAMBLE.size + frame.encoded_size
+    # A segment is reported as durable together with its header, so only the last one may still lack it.
+    is_torn = is_last and not _has_valid_frame_after(data, -1)
+    scan.finish(SegmentEnd.TORN if is_torn else SegmentEnd.CORRUPTED, "no header that can be read")
+    return 0
+
+
+def _classify_bad_frame(scan: SegmentScan, data: memoryview, offset: int, is_last: bool) -> None:
+    """Tell a torn write from corruption."""
+    remaining = len(data) - offset
+    # The SYNCED frame behind a segment's last batch is not synced, and may be torn even though later segments
+    # exist. Whether more than that is missing shows in the number of the next segment's first batch.
+    may_be_torn = is_last or remaining <= FRAME_HEADER.size
+    if may_be_torn and not _has_valid_frame_after(data, offset):
+        scan.finish(SegmentEnd.TORN, f"{remaining} bytes of a write that did not go through")
+    else:
+        scan.finish(SegmentEnd.CORRUPTED, f"byte {offset} and what follows is not as it was written")
--- a/frostfall/storage/write_ahead_log.py
+++ b/frostfall/storage/write_ahead_log.py
@@ -122,7 +122,7 @@
             found = segment_codec.SegmentScan()
             first = next(segment_codec.iter_records(load(number), number == numbers[-1], found), None)
             if first and found.header and found.header.owner == self.owner:
-                return found.header.first
+                return found.header.oldest_segment
         return 0
 
     def _read(self, number: int, raw: bytes, last: bool, recall: Callable[[bytes], None]) -> None:
@@ -153,13 +153,13 @@
         if (
             header.segment != number
             or (self._segment and number != self._segment + 1)
-            or (self.store_id and header.store != self.store_id)
+            or (self.store_id and header.store_id != self.store_id)
         ):
             self._bad(LogCondition.CORRUPTED, f"segment {number} does not follow segment {self._segment}")
-        elif self._segment and header.batch != self.last_batch + 1:
+        elif self._segment and header.first_batch != self.last_batch + 1:
             self._bad(
                 LogCondition.CORRUPTED,
-                f"segment {number} begins with batch {header.batch}, "
+                f"segment {number} begins with batch {header.first_batch}, "
                 f"segment {self._segment} ends with {self.last_batch}",
             )
         elif self.condition is LogCondition.FRESH:
@@ -167,12 +167,12 @@
         if read.end is SegmentEnd.TORN:
             self.torn_bytes += len(raw) - read.valid_bytes
             self._cut = number, read.valid_bytes
-        self.store_id = header.store
-        self._segment, self._first = number, header.first
+        self.store_id = header.store_id
+        self._segment, self._first = number, header.oldest_segment
         self.last_batch, self._size = read.last_batch, read.valid_bytes
-        self._began[number], self._sizes[number] = header.elapsed, read.valid_bytes
+        self._began[number], self._sizes[number] = header.elapsed_seconds, read.valid_bytes
         self._versions[number] = read.format_version
-        self.previous_run_seconds = max(self.previous_run_seconds, header.elapsed)
+        self.previous_run_seconds = max(self.previous_run_seconds, header.elapsed_seconds)
 
     def _bad(self, condition: LogCondition, why: str) -> None:
         if self.condition.is_usable:
