--- a/frostfall/storage/__init__.py
+++ b/frostfall/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The store: a log of segments on disk, decided without I/O."""
+"""Write-ahead log of operations and metadata in segments, decided without I/O; `net.log_writer` drives it."""
--- a/frostfall/storage/record_index.py
+++ b/frostfall/storage/record_index.py
@@ -1,126 +1,151 @@
-"""An index of keys to places in the log: open addressing in flat arrays, 23 to 46 bytes a key.
+"""Index of operation keys to locations in the log: an open-addressing hash table in two flat arrays.
 
-A dict of the same takes over twice as much; `frostfall bench power-loss` measures both. Linear probing
-after Knuth, The Art of Computer Programming 3, 6.4, algorithm L: keys are hashes, as keys in a row would
-pile up. Two names may share a key of 64 bits: each has a slot of its own, and who looks up is given all of
-them, to compare the names in the log.
+It takes 23 to 46 bytes a key; a dict takes over twice as much (`frostfall bench power-loss` measures both).
+Linear probing after Knuth, The Art of Computer Programming 3, section 6.4, algorithm L. Keys are hashes of 64
+bits, as consecutive keys would cluster. Two operations may share a key: each has a slot of its own, and a
+lookup returns all of them, for the caller to compare the names in the log.
 """
 
 from __future__ import annotations
 
 from array import array
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from frostfall.storage.segment_codec import RecordState
 
-MIN_SLOTS = 1 << 10  # slots
-MAX_LOAD_FACTOR = 0.7  # of the slots, graves included, from which the table grows or is laid anew
-_STATE, _OFFSET = 3, 32  # bits
-_EMPTY, _GRAVE = 0, 1  # of a place; every place in use has a segment from 1 on
+MIN_SLOTS = 1 << 10
+MAX_LOAD_FACTOR = 0.7  # share of the slots, tombstones included, from which the table is rebuilt
+REBUILD_HEADROOM = 1.2  # a rebuild after a removal leaves room for so many times the entries
+
+_STATE_BITS = 3
+_OFFSET_BITS = 32
+_SEGMENT_SHIFT = _OFFSET_BITS + _STATE_BITS
+_STATE_MASK = (1 << _STATE_BITS) - 1
+_OFFSET_MASK = (1 << _OFFSET_BITS) - 1
+
+# Contents of a slot without an entry. A packed location is larger, as segments are numbered from 1.
+_EMPTY = 0
+_TOMBSTONE = 1
+
+
+class RecordLocation(NamedTuple):
+    """Where a record is in the log, and its state."""
+
+    segment: int
+    offset: int  # bytes from the beginning of the segment
+    state: RecordState
 
 
 def pack_location(segment: int, offset: int, state: RecordState) -> int:
-    """A place in the log and a state as one number."""
-    return segment << (_OFFSET + _STATE) | offset << _STATE | state
+    """Pack a location into one integer of at most 64 bits."""
+    return segment << _SEGMENT_SHIFT | offset << _STATE_BITS | state
 
 
-def unpack_location(location: int) -> tuple[int, int, RecordState]:
-    """Segment, offset and state of a place."""
-    return (
-        location >> (_OFFSET + _STATE),
-        (location >> _STATE) & ((1 << _OFFSET) - 1),
-        RecordState(location & ((1 << _STATE) - 1)),
+def unpack_location(location: int) -> RecordLocation:
+    """Unpack what `pack_location` has packed."""
+    return RecordLocation(
+        location >> _SEGMENT_SHIFT,
+        (location >> _STATE_BITS) & _OFFSET_MASK,
+        RecordState(location & _STATE_MASK),
     )
 
 
 class RecordIndex:
-    """Keys of 64 bits, each with one or more places."""
+    """Keys of 64 bits, each with one or more packed locations."""
 
-    __slots__ = ("_keys", "_mask", "_places", "_used", "count")
+    __slots__ = ("_count", "_keys", "_locations", "_mask", "_used_slots")
 
     def __init__(self) -> None:
-        """Without a key."""
-        self.count = 0
-        self._lay(MIN_SLOTS)
+        self._count = 0
+        self._allocate(MIN_SLOTS)
 
     def __len__(self) -> int:
-        """How many places there are."""
-        return self.count
-
-    def _lay(self, slots: int) -> None:
-        self._keys, self._places = array("Q", (0,)) * slots, array("Q", (0,)) * slots
-        self._mask, self._used = slots - 1, 0
+        """Return the number of locations."""
+        return self._count
 
     def get(self, key: int) -> list[int]:
-        """All places of a key, most often none or one."""
-        keys, places, mask = self._keys, self._places, self._mask
-        found, slot = [], key & mask
-        while (place := places[slot]) != _EMPTY:
-            if place != _GRAVE and keys[slot] == key:
-                found.append(place)
+        """Return all packed locations of a key, most often none or one."""
+        keys, locations, mask = self._keys, self._locations, self._mask
+        found = []
+        slot = key & mask
+        while (location := locations[slot]) != _EMPTY:
+            if location != _TOMBSTONE and keys[slot] == key:
+                found.append(location)
             slot = (slot + 1) & mask
         return found
 
+    def items(self) -> Iterator[tuple[int, int]]:
+        """Iterate over all keys and packed locations, in no particular order."""
+        for key, location in zip(self._keys, self._locations):
+            if location > _TOMBSTONE:
+                yield key, location
+
     def add(self, key: int, location: int) -> None:
-        """One more place of a key."""
-        if self._used >= self._mask * MAX_LOAD_FACTOR:
+        """Add a location to a key."""
+        if self._used_slots >= self._mask * MAX_LOAD_FACTOR:
             self._grow()
-        places, mask = self._places, self._mask
+        locations, mask = self._locations, self._mask
         slot = key & mask
-        while places[slot] != _EMPTY:
+        while locations[slot] != _EMPTY:
             slot = (slot + 1) & mask
-        self._keys[slot], places[slot] = key, location
-        self._used += 1
-        self.count += 1
+        self._keys[slot] = key
+        locations[slot] = location
+        self._used_slots += 1
+        self._count += 1
 
     def replace(self, key: int, current: int, replacement: int) -> bool:
-        """Put a place instead of another; False where the key has not got that one."""
-        keys, places, mask = self._keys, self._places, self._mask
+        """Replace one location of a key; False where the key does not have it."""
+        keys, locations, mask = self._keys, self._locations, self._mask
         slot = key & mask
-        while (place := places[slot]) != _EMPTY:
-            if place == current and keys[slot] == key:
-                places[slot] = replacement
+        while (location := locations[slot]) != _EMPTY:
+            if location == current and keys[slot] == key:
+                locations[slot] = replacement
                 return True
             slot = (slot + 1) & mask
         return False
 
     def remove(self, key: int, location: int) -> bool:
-        """Forget a place; False where the key has not got it."""
-        if not self.replace(key, location, _GRAVE):
+        """Remove one location of a key; False where the key does not have it."""
+        if not self.replace(key, location, _TOMBSTONE):
             return False
-        self.count -= 1
+        self._count -= 1
         return True
 
-    def items(self) -> Iterator[tuple[int, int]]:
-        """All keys with their places."""
-        for key, place in zip(self._keys, self._places):
-            if place > _GRAVE:
-                yield key, place
-
     def remove_before(self, segment: int) -> int:
-        """Forget all places in segments before this one; how many there were."""
-        floor, before = segment << (_OFFSET + _STATE), self.count
-        keys, places = self._keys, self._places
-        self.count = sum(1 for place in places if place >= floor)
+        """Remove all locations in segments before this one, and return how many there were."""
+        first_kept = segment << _SEGMENT_SHIFT
+        old_count = self._count
+        keys, locations = self._keys, self._locations
+        self._count = sum(1 for location in locations if location >= first_kept)
         slots = MIN_SLOTS
-        while slots * MAX_LOAD_FACTOR <= self.count * 1.2:
+        while slots * MAX_LOAD_FACTOR <= self._count * REBUILD_HEADROOM:
             slots *= 2
-        self._refill(keys, places, slots, floor)
-        return before - self.count
+        self._rebuild(keys, locations, slots, first_kept)
+        return old_count - self._count
+
+    def _allocate(self, slots: int) -> None:
+        self._keys = array("Q", (0,)) * slots
+        self._locations = array("Q", (0,)) * slots
+        self._mask = slots - 1
+        self._used_slots = 0  # tombstones included
 
     def _grow(self) -> None:
+        """Rebuild without tombstones, in twice the slots unless most of the used ones were tombstones."""
         slots = self._mask + 1
-        if self.count > slots * MAX_LOAD_FACTOR / 2:  # else graves fill it
+        if self._count > slots * MAX_LOAD_FACTOR / 2:
             slots *= 2
-        self._refill(self._keys, self._places, slots, _GRAVE + 1)
-
-    def _refill(self, keys: array[int], places: array[int], slots: int, floor: int) -> None:
-        self._lay(slots)
-        new_keys, new_places, mask = self._keys, self._places, self._mask
-        for key, place in zip(keys, places):
-            if place >= floor:
+        self._rebuild(self._keys, self._locations, slots, _TOMBSTONE + 1)
+
+    def _rebuild(self, keys: array[int], locations: array[int], slots: int, first_kept: int) -> None:
+        """Insert the locations from `first_kept` on into a new table of so many slots."""
+        self._allocate(slots)
+        new_keys, new_locations, mask = self._keys, self._locations, self._mask
+        for key, location in zip(keys, locations):
+            if location >= first_kept:
                 slot = key & mask
-                while new_places[slot] != _EMPTY:
+                while new_locations[slot] != _EMPTY:
                     slot = (slot + 1) & mask
-                new_keys[slot], new_places[slot] = key, place
-        self._used = self.count
+                new_keys[slot] = key
+                new_locations[slot] = location
+        self._used_slots = self._count
