--- a/frostfall/net/log_writer.py
+++ b/frostfall/net/log_writer.py
@@ -1,4 +1,4 @@
-"""The store's folder on disk, and the task that carries out its writes one after another."""
+"""Driver of the write-ahead log: segments as files of a directory, and the task that writes them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from time import monotonic
-from typing import Any
+from typing import Any, NamedTuple
 from uuid import uuid4
 
 import anyio
@@ -18,111 +18,127 @@
 
 from frostfall import log
 from frostfall.storage import segment_codec
+from frostfall.storage.errors import DirectoryInUseError, RecordMismatchError
 from frostfall.storage.record_index import pack_location
-from frostfall.storage.segment_codec import RecordState
+from frostfall.storage.segment_codec import DecodedRecord, RecordState
 from frostfall.storage.write_ahead_log import SegmentWrite, WriteAheadLog
 
-FIRST_READ_BYTES, MAX_RECORD_READ_BYTES = (
-    512,
-    1 << 17,
-)  # bytes: most records; a longer one is read again in full
-_NAME = re.compile(r"(\d{10})\.seg\Z")
+FIRST_READ_BYTES = 512  # holds most records; a longer one is read again with the maximum
+MAX_RECORD_READ_BYTES = 1 << 17
+
+_SEGMENT_FILE_NAME = re.compile(r"(\d{10})\.seg\Z")
+_NO_FD = -1
 
 _log = log.get_logger("disk")
 
 
+class FoundRecord(NamedTuple):
+    """A record found by key and name."""
+
+    state: RecordState
+    payload: bytes
+    location: int  # packed
+
+
 class SegmentDirectory:
-    """Segments as files of one folder; every method may raise OSError, and all of them block."""
+    """Segments as files of one directory. Every method blocks and may raise OSError."""
 
     def __init__(self, path: Path) -> None:
-        """Use this folder, which is made if need be."""
         self.path = path
-        self._out = -1
-        self._lock = -1
+        self._output_fd = _NO_FD
+        self._lock_fd = _NO_FD
 
     def lock(self) -> None:
-        """Take the folder for this process. Danger: two agents on one folder would undo each other's work."""
+        """Create the directory if it does not exist, and lock it for this process.
+
+        Two processes that write to one directory would corrupt its log. Raises DirectoryInUseError where
+        another one holds the lock.
+        """
         self.path.mkdir(parents=True, exist_ok=True)
-        self._lock = os.open(self.path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        self._lock_fd = os.open(self.path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise OSError(errno.EBUSY, f"{self.path} is in use by another process") from None
-
-    def _file(self, number: int) -> Path:
-        return self.path / f"{number:010d}.seg"
+            message = f"{self.path} is in use by another process"
+            raise DirectoryInUseError(errno.EBUSY, message) from None
 
     def segment_numbers(self) -> list[int]:
-        """The segments that there are, oldest first."""
-        return sorted(int(match[1]) for name in os.listdir(self.path) if (match := _NAME.match(name)))
+        """Return the numbers of the existing segments, oldest first."""
+        matches = map(_SEGMENT_FILE_NAME.match, os.listdir(self.path))
+        return sorted(int(match[1]) for match in matches if match)
 
     def read_segment(self, number: int) -> bytes:
-        """All bytes of a segment."""
-        return self._file(number).read_bytes()
+        """Read a whole segment."""
+        return self._segment_path(number).read_bytes()
 
     def read_range(self, number: int, offset: int, size: int) -> bytes:
-        """Up to so many bytes of a segment, from an offset on."""
-        source = os.open(self._file(number), os.O_RDONLY | os.O_CLOEXEC)
+        """Read up to `size` bytes of a segment from an offset on."""
+        fd = os.open(self._segment_path(number), os.O_RDONLY | os.O_CLOEXEC)
         try:
-            return os.pread(source, size, offset)
+            return os.pread(fd, size, offset)
         finally:
-            os.close(source)
+            os.close(fd)
 
     def truncate(self, number: int, size: int) -> None:
-        """Shorten a segment, for good."""
-        target = os.open(self._file(number), os.O_WRONLY | os.O_CLOEXEC)
+        """Shorten a segment to `size` bytes, and sync that."""
+        fd = os.open(self._segment_path(number), os.O_WRONLY | os.O_CLOEXEC)
         try:
-            os.ftruncate(target, size)
-            os.fsync(target)
+            os.ftruncate(fd, size)
+            os.fsync(fd)
         finally:
-            os.close(target)
+            os.close(fd)
 
     def start_segment(self, number: int) -> None:
-        """Write to this new segment from now on."""
-        fresh = os.open(self._file(number), os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_CLOEXEC, 0o600)
-        if self._out >= 0:
-            os.close(self._out)
-        self._out = fresh
+        """Create a segment, or empty an old file of its name, and append to it from now on."""
+        flags = os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_CLOEXEC
+        fd = os.open(self._segment_path(number), flags, 0o600)
+        if self._output_fd != _NO_FD:
+            os.close(self._output_fd)
+        self._output_fd = fd
 
     def append(self, data: bytes) -> None:
-        """Write all of it behind what stands in the segment."""
-        view = memoryview(data)
-        while view:
-            view = view[os.write(self._out, view) :]
+        """Append all of the data to the current segment."""
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self._output_fd, remaining) :]
 
     def sync_data(self) -> None:
-        """Return once what was written is on disk."""
-        os.fdatasync(self._out)
+        """Return once what was appended is durable."""
+        os.fdatasync(self._output_fd)
 
     def sync_directory(self) -> None:
-        """Return once new files and removals are on disk."""
-        handle = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        """Return once new and removed names are durable."""
+        fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(handle)
+            os.fsync(fd)
         finally:
-            os.close(handle)
+            os.close(fd)
 
     def remove_segment(self, number: int) -> None:
-        """Remove a segment; one that is gone already is none to remove."""
-        self._file(number).unlink(missing_ok=True)
+        """Remove a segment, if it exists."""
+        self._segment_path(number).unlink(missing_ok=True)
 
     def close(self) -> None:
-        """Let the folder go."""
-        for handle in (self._out, self._lock):
-            if handle >= 0:
-                os.close(handle)
-        self._out = self._lock = -1
+        """Close the current segment and release the lock."""
+        for fd in (self._output_fd, self._lock_fd):
+            if fd != _NO_FD:
+                os.close(fd)
+        self._output_fd = _NO_FD
+        self._lock_fd = _NO_FD
+
+    def _segment_path(self, number: int) -> Path:
+        return self.path / f"{number:010d}.seg"
 
 
 def segment_directory(path: Path) -> SegmentDirectory:
-    """The folder that an agent keeps its record in; what stands in for a disk replaces this."""
+    """Open the directory of an agent's log; the bench replaces this to simulate disk faults."""
     return SegmentDirectory(path)
 
 
 def execute_write(directory: SegmentDirectory, write: SegmentWrite) -> None:
-    """One write, step by step; OSError from whichever fails."""
+    """Execute the steps of a write in order; raises the OSError of the step that fails."""
     if write.truncate:
-        directory.truncate(*write.truncate)
+        directory.truncate(write.truncate.segment, write.truncate.size)
     if write.starts_segment:
         directory.start_segment(write.segment)
     directory.append(write.data)
@@ -135,7 +151,7 @@
 
 
 class LogWriter:
-    """A journal on a folder."""
+    """Runs a write-ahead log on a directory: one write after another, each in a thread."""
 
     def __init__(
         self,
@@ -144,28 +160,35 @@
         steady_clock: Callable[[], float] = monotonic,
         run_blocking: Callable[..., Awaitable[Any]] = run_sync,
     ) -> None:
-        """Nothing is read or written before `open`; `blocking` calls what blocks, in a thread."""
-        self.directory, self.wal, self.run_blocking = directory, wal, run_blocking
-        self._steady, self._started = steady_clock, steady_clock()
-        self._waiters: deque[tuple[int, Callable[[bool], None]]] = deque()  # by ticket, which only grows
-        self._wake = anyio.Event()
-        self.commit_count = 0
+        """Nothing is read or written before `open`. `run_blocking` runs a blocking call in a thread."""
+        self.directory = directory
+        self.wal = wal
+        self.run_blocking = run_blocking
+        self.commit_count = 0  # writes that are durable
         self.is_open = False
+        self._steady_clock = steady_clock
+        self._started_at = steady_clock()
+        self._waiters: deque[tuple[int, Callable[[bool], None]]] = deque()  # in the order of their tickets
+        self._wake = anyio.Event()
 
     @property
     def elapsed_seconds(self) -> float:
-        """Seconds that the owner has run, over all its lives. A wall clock that jumps does not touch it."""
-        return self.wal.previous_run_seconds + self._steady() - self._started
+        """Running time of the owner over all its incarnations, by a steady clock."""
+        return self.wal.previous_run_seconds + self._steady_clock() - self._started_at
 
     async def open(self, on_metadata: Callable[[bytes], None]) -> None:
-        """Take the folder and read all that is there; OSError where it cannot be used at all."""
+        """Lock the directory and recover the log. Raises OSError where the directory cannot be used at all.
 
-        def read() -> None:
+        `on_metadata` is called with each metadata record, in a thread. A log that is found unusable raises
+        nothing: `is_open` stays False.
+        """
+
+        def recover() -> None:
             self.directory.lock()
             self.wal.recover(self.directory.segment_numbers(), self.directory.read_segment, on_metadata)
 
         try:
-            await self.run_blocking(read)
+            await self.run_blocking(recover)
         except OSError as error:
             self.wal.failure_reason = str(error)
             raise
@@ -173,13 +196,35 @@
             self.wal.store_id = self.wal.store_id or uuid4().hex
             self.is_open = True
 
-    async def read_range(self, number: int, offset: int, size: int) -> bytes:
-        """Up to so many bytes of a segment; OSError where they cannot be read."""
-        raw: bytes = await self.run_blocking(self.directory.read_range, number, offset, size)
-        return raw
+    async def run(self) -> None:
+        """Execute the log's writes until cancelled."""
+        while True:
+            self._wake = anyio.Event()
+            write = self.wal.next_write(self.elapsed_seconds)
+            if write is None:
+                await self._wake.wait()
+                continue
+            try:
+                await self.run_blocking(execute_write, self.directory, write)
+            except OSError as error:
+                self.wal.write_failed(f"segment {write.segment}: {error.strerror or error}")
+                _log.error(
+                    "write failed: no unsafe work is taken until a restart", why=self.wal.failure_reason
+                )
+            else:
+                self.wal.write_synced()
+                self.commit_count += 1
+            self._notify_waiters()
+
+    def wake(self) -> None:
+        """Have queued records written that nobody waits for."""
+        self._wake.set()
 
     def when_durable(self, ticket: int, callback: Callable[[bool], None]) -> None:
-        """Call back once a ticket is on disk (True), or will never surely be (False); tickets in order."""
+        """Call back with True once a ticket is durable, or with False once it cannot become so any more.
+
+        Tickets must not decrease from call to call.
+        """
         if self.wal.failure_reason:
             callback(False)
         elif self.wal.durable_ticket >= ticket:
@@ -189,74 +234,52 @@
             self._wake.set()
 
     async def wait_durable(self, ticket: int) -> bool:
-        """Wait until a ticket is on disk; False where it will never surely be."""
-        told: list[bool] = []
-        event = anyio.Event()
+        """Wait until a ticket is durable; False where it cannot become so any more."""
+        outcome: list[bool] = []
+        decided = anyio.Event()
 
-        def then(good: bool) -> None:
-            told.append(good)
-            event.set()
+        def callback(is_durable: bool) -> None:
+            outcome.append(is_durable)
+            decided.set()
 
-        self.when_durable(ticket, then)
-        await event.wait()
-        return told[0]
+        self.when_durable(ticket, callback)
+        await decided.wait()
+        return outcome[0]
 
-    def wake(self) -> None:
-        """There is something to write, for which nobody waits."""
-        self._wake.set()
+    async def read_range(self, number: int, offset: int, size: int) -> bytes:
+        """Read up to `size` bytes of a segment in a thread; raises OSError."""
+        data: bytes = await self.run_blocking(self.directory.read_range, number, offset, size)
+        return data
 
-    def find_record(
-        self, key: int, matches: Callable[[bytes], bool]
-    ) -> tuple[RecordState, bytes, int] | None:
-        """What the log has of a key whose payload is the wanted one: state, payload, place. Blocks shortly.
+    def find_record(self, key: int, matches: Callable[[bytes], bool]) -> FoundRecord | None:
+        """Find the record of a key whose payload matches. Blocks for a short read.
 
-        OSError or ValueError where the log cannot be read any more.
+        Raises OSError, or RecordMismatchError (a ValueError) where the log does not hold what the index says.
         """
         for segment, offset, state in self.wal.find_locations(key):
             record = self.read_record(segment, offset)
-            if record is None or record[1] != key:
-                raise ValueError(f"segment {segment}, byte {offset}: not what was written")
-            if matches(record[2]):
-                return state, record[2], pack_location(segment, offset, state)
+            if record is None or record.key != key:
+                raise RecordMismatchError(f"segment {segment}, byte {offset}: not what was written")
+            if matches(record.payload):
+                return FoundRecord(state, record.payload, pack_location(segment, offset, state))
         return None
 
-    def read_record(self, segment: int, offset: int) -> tuple[RecordState, int, bytes] | None:
-        """State, key and payload of the record that stands there, None where none does. Blocks shortly."""
+    def read_record(self, segment: int, offset: int) -> DecodedRecord | None:
+        """Read the record at a location; None where there is none. Blocks shortly and may raise OSError."""
         version = self.wal.format_version_of(segment)
         raw = self.directory.read_range(segment, offset, FIRST_READ_BYTES)
         record = segment_codec.decode_record(raw, version)
         if record is None and len(raw) == FIRST_READ_BYTES:
-            record = segment_codec.decode_record(
-                self.directory.read_range(segment, offset, MAX_RECORD_READ_BYTES), version
-            )
+            raw = self.directory.read_range(segment, offset, MAX_RECORD_READ_BYTES)
+            record = segment_codec.decode_record(raw, version)
         return record
 
-    async def run(self) -> None:
-        """Carry out what the journal has to write, for good."""
-        while True:
-            self._wake = anyio.Event()
-            write = self.wal.next_write(self.elapsed_seconds)
-            if write is None:
-                await self._wake.wait()
-                continue
-            try:
-                await self.run_blocking(execute_write, self.directory, write)
-            except OSError as error:
-                self.wal.write_failed(f"segment {write.segment}: {error.strerror or error}")
-                _log.error(
-                    "write failed: no unsafe work is taken until a restart", why=self.wal.failure_reason
-                )
-            else:
-                self.wal.write_synced()
-                self.commit_count += 1
-            self._tell()
-
-    def _tell(self) -> None:
-        lost = bool(self.wal.failure_reason)
-        while self._waiters and (lost or self._waiters[0][0] <= self.wal.durable_ticket):
-            ticket, then = self._waiters.popleft()
+    def _notify_waiters(self) -> None:
+        has_failed = bool(self.wal.failure_reason)
+        while self._waiters and (has_failed or self._waiters[0][0] <= self.wal.durable_ticket):
+            ticket, callback = self._waiters.popleft()
             try:
-                then(ticket <= self.wal.durable_ticket)
+                callback(ticket <= self.wal.durable_ticket)
             except Exception:
-                # Danger: a fault in what follows one commit must not end the commits of all others.
-                _log.exception("call back failed")
+                # An error in the code behind one commit must not keep the others from being notified.
+                _log.exception("durability callback failed")
