--- a/frostfall/recovery/metadata.py
+++ b/frostfall/recovery/metadata.py
@@ -1,7 +1,11 @@
-"""What is written down over and above operations, and what each kind of state is worth after a loss."""
+"""Metadata records of the log, and how far each kind of state is trusted after a power loss.
+
+The tags and the order of the fields are the stored format.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import Enum
 from typing import Any
 
@@ -9,28 +13,26 @@
 
 
 class IncarnationStarted(msgspec.Struct, frozen=True, tag="life", array_like=True):
-    """The owner began a life with this incarnation number; on disk before anybody is told."""
+    """The owner began an incarnation with this number; durable before any member is told."""
 
     incarnation: int
-    token: str  # random: a folder that is an older copy begins a life with the same number again
+    token: str  # random: an older copy of the directory would begin the same number again
 
 
 class PeerIncarnation(msgspec.Struct, frozen=True, tag="seen", array_like=True):
-    """What a member was seen to be: its life, and the last batch that it had on disk by then."""
+    """A member's incarnation as last seen, and the last batch that was durable there by then."""
 
     member: str
     incarnation: int
     batch: int
     token: str
-    stale_reason: str = (
-        ""  # why its folder is older than what was known of it, until it has that on disk itself
-    )
+    stale_reason: str = ""  # why its directory is older than known, until it has recorded that itself
 
 
 class RecordIncomplete(msgspec.Struct, frozen=True, tag="doubt", array_like=True):
-    """From here on this record proves nothing of what it does not hold; why. Empty: that is over.
+    """From here on the record is incomplete, for this reason; an empty reason: it is complete again.
 
-    `mute`: what was voted for in agreement is lost, and only operators can accept that.
+    `consensus_excluded`: the Raft votes cast are lost, and only operators can accept that.
     """
 
     reason: str
@@ -38,13 +40,13 @@
 
 
 class BuildRolledBack(msgspec.Struct, frozen=True, tag="back", array_like=True):
-    """A build that was sent back or withdrawn; a number no lower was never good since."""
+    """A build that was rolled back or withdrawn; builds up to this number were never good since."""
 
     build: int
 
 
 class VoteHold(msgspec.Struct, frozen=True, tag="hold", array_like=True):
-    """Operators hold votes for builds back, or do so no more; of another member where one is named."""
+    """Operators hold votes for builds, or release them; recorded for another member where one is named."""
 
     operator: str
     active: bool
@@ -53,34 +55,34 @@
 
 
 class ReplicaAssignment(msgspec.Struct, frozen=True, tag="keeps", array_like=True):
-    """Whose records are kept here in full, as copies, and who was a member by then."""
+    """The owners whose records are replicated here in full, and the members of the group by then."""
 
     owners: list[str]
     members: list[str]
 
 
 class RaftVote(msgspec.Struct, frozen=True, tag="voted", array_like=True):
-    """Agreement: the term, and who was voted for in it."""
+    """Raft: the current term, and the candidate voted for in it."""
 
     term: int
     voted_for: str
 
 
 class RaftEntry(msgspec.Struct, frozen=True, tag="ruled", array_like=True):
-    """Agreement: an entry of the log; what stood there and behind it goes."""
+    """Raft: a log entry, which replaces what stood at its index and after it."""
 
     index: int
     entry: Any
 
 
 class RaftSnapshot(msgspec.Struct, frozen=True, tag="agreed", array_like=True):
-    """Agreement: a snapshot, which stands for all entries up to its index."""
+    """Raft: a snapshot of the state machine, which replaces all entries up to its index."""
 
     snapshot: Any
 
 
 class CachedEndpointList(msgspec.Struct, frozen=True, tag="list", array_like=True):
-    """The server list as it was last told, and the wall clock's seconds then: a hint with an age."""
+    """The endpoint list as last received from discovery, and the wall-clock seconds by then."""
 
     saved_at: float
     endpoint_list: Any
@@ -98,36 +100,24 @@
     | RaftSnapshot
     | CachedEndpointList
 )
-_DECODER = msgspec.msgpack.Decoder(
-    IncarnationStarted
-    | PeerIncarnation
-    | RecordIncomplete
-    | BuildRolledBack
-    | VoteHold
-    | ReplicaAssignment
-    | RaftVote
-    | RaftEntry
-    | RaftSnapshot
-    | CachedEndpointList
-)
+_DECODER: msgspec.msgpack.Decoder[MetadataRecord] = msgspec.msgpack.Decoder(MetadataRecord)
 
 
-def encode(fact: MetadataRecord) -> bytes:
-    """A fact as bytes."""
-    return msgspec.msgpack.encode(fact)
+def encode(record: MetadataRecord) -> bytes:
+    """Encode a metadata record."""
+    return msgspec.msgpack.encode(record)
 
 
 def decode(data: bytes) -> MetadataRecord | None:
-    """A fact again; None for one of a kind that this version does not know."""
+    """Decode a metadata record; None for a kind that this version does not know."""
     try:
-        fact: MetadataRecord = _DECODER.decode(data)
-        return fact
+        return _DECODER.decode(data)
     except msgspec.MsgspecError:
         return None
 
 
 class TrustLevel(Enum):
-    """What a kind of state is worth at a start."""
+    """How far a kind of state is trusted at a start."""
 
     AUTHORITATIVE = "fact"
     HINT = "hint with an age"
@@ -135,54 +125,72 @@
     WORST_CASE = "worst case assumed"
 
 
-TRUST_BY_STATE: dict[str, tuple[TrustLevel, str]] = {
-    "own incarnation": (TrustLevel.AUTHORITATIVE, "the next life's is higher, also than any that others saw"),
-    "intents of unsafe work": (
+@dataclass(frozen=True, slots=True)
+class StateTrust:
+    """How far a kind of state is trusted at a start, and what follows from it."""
+
+    level: TrustLevel
+    consequence: str
+
+
+TRUST_BY_STATE: dict[str, StateTrust] = {
+    "own incarnation": StateTrust(
+        TrustLevel.AUTHORITATIVE, "the next life's is higher, also than any that others saw"
+    ),
+    "intents of unsafe work": StateTrust(
         TrustLevel.AUTHORITATIVE,
         "one without an end may have run: failed, never sent again",
     ),
-    "outcomes and answers given": (
+    "outcomes and answers given": StateTrust(
         TrustLevel.AUTHORITATIVE,
         "given again to who asks with the operation's name",
     ),
-    "copies of others' operations": (
+    "copies of others' operations": StateTrust(
         TrustLevel.AUTHORITATIVE,
         "an open one may have run, whoever settles it",
     ),
-    "fences": (TrustLevel.AUTHORITATIVE, "what was settled as never begun is not begun by its owner"),
-    "votes and log of the register": (
+    "fences": StateTrust(
+        TrustLevel.AUTHORITATIVE, "what was settled as never begun is not begun by its owner"
+    ),
+    "votes and log of the register": StateTrust(
         TrustLevel.AUTHORITATIVE,
         "in doubt, a member takes no part: it may have voted",
     ),
-    "builds that went back": (
+    "builds that went back": StateTrust(
         TrustLevel.AUTHORITATIVE,
         "no vote for them until the platform tells of a newer one",
     ),
-    "holds of operators": (TrustLevel.AUTHORITATIVE, "stand until operators lift them"),
-    "members' lives as seen": (TrustLevel.AUTHORITATIVE, "an older life that speaks is told so"),
-    "the server list": (TrustLevel.HINT, "used until discovery answers; replaced whole by its first list"),
-    "what was learned of servers": (TrustLevel.HINT, "not kept: a start takes the fleet's mean"),
-    "who the members are": (
+    "holds of operators": StateTrust(TrustLevel.AUTHORITATIVE, "stand until operators lift them"),
+    "members' lives as seen": StateTrust(TrustLevel.AUTHORITATIVE, "an older life that speaks is told so"),
+    "the server list": StateTrust(
+        TrustLevel.HINT, "used until discovery answers; replaced whole by its first list"
+    ),
+    "what was learned of servers": StateTrust(TrustLevel.HINT, "not kept: a start takes the fleet's mean"),
+    "who the members are": StateTrust(
         TrustLevel.HINT,
         "the operator file's members; who of them is here is found out anew",
     ),
-    "requests out": (TrustLevel.DISCARDED, "clients' connections are gone; intents tell what may have run"),
-    "connections": (TrustLevel.DISCARDED, "opened anew"),
-    "suspicions": (TrustLevel.DISCARDED, "all are unheard of at a start"),
-    "leases, being the one who decides": (TrustLevel.DISCARDED, "there are none that outlive a life"),
-    "exposure of a build on trial": (
+    "requests out": StateTrust(
+        TrustLevel.DISCARDED, "clients' connections are gone; intents tell what may have run"
+    ),
+    "connections": StateTrust(TrustLevel.DISCARDED, "opened anew"),
+    "suspicions": StateTrust(TrustLevel.DISCARDED, "all are unheard of at a start"),
+    "leases, being the one who decides": StateTrust(
+        TrustLevel.DISCARDED, "there are none that outlive a life"
+    ),
+    "exposure of a build on trial": StateTrust(
         TrustLevel.WORST_CASE,
         "taken as spent for one whole window: no trial before",
     ),
-    "cold budget": (
+    "cold budget": StateTrust(
         TrustLevel.WORST_CASE,
         "every server is taken as what the list says, and nothing as carried yet",
     ),
-    "an own vote": (
+    "an own vote": StateTrust(
         TrustLevel.WORST_CASE,
         "it may still stand: none is cast before the platform has told the state",
     ),
-    "the wall clock": (
+    "the wall clock": StateTrust(
         TrustLevel.WORST_CASE,
         "kept ages count running time; differences to others are told aloud",
     ),
--- a/frostfall/recovery/retry_after.py
+++ b/frostfall/recovery/retry_after.py
@@ -1,7 +1,7 @@
-"""When a crowd that is refused is to come again: spread over a time that grows with the crowd. No clock.
+"""Retry-After jitter: rejected clients are spread over a time that grows with their number. No clock.
 
-Clients of a whole fleet come back at once after a power loss. Told the same time all, they would come at once
-again; told a time that does not grow, they would come more often than they can be served.
+After a power loss, the clients of a whole fleet reconnect at once. With one common delay they would return at
+once again; with a delay that does not grow, they would return faster than they can be served.
 """
 
 from __future__ import annotations
@@ -9,23 +9,27 @@
 import random
 from collections import deque
 
-MIN_SPREAD, MAX_SPREAD = 0.3, 5.0  # seconds: the width of the spread, and the soonest half of it
-COUNTING_WINDOW = 1.0  # seconds over which refusals are counted
+MIN_SPREAD = 0.3  # seconds: the least mean delay
+MAX_SPREAD = 5.0  # seconds: the greatest mean delay
+MIN_JITTER = 0.5  # of the mean delay
+MAX_JITTER = 1.5  # of the mean delay
+COUNTING_WINDOW = 1.0  # seconds over which rejections are counted
 
 
 class RetryAfterJitter:
-    """Hands out times to come again."""
+    """Hands out the delays after which rejected clients may retry."""
 
     def __init__(self, rate: float, seed: int) -> None:
-        """`rate`: refusals a second that need no more than the least width."""
-        self._rate, self._random = rate, random.Random(seed)
-        self._given: deque[float] = deque()
+        """`rate`: rejections per second up to which the least spread is used."""
+        self._rate = rate
+        self._random = random.Random(seed)
+        self._rejected_at: deque[float] = deque()
 
     def next_delay(self, now: float) -> float:
-        """Seconds after which one more that is refused at `now` (seconds, never less than before) comes."""
-        given = self._given
-        given.append(now)
-        while given[0] < now - COUNTING_WINDOW:
-            given.popleft()
-        width = min(max(MIN_SPREAD * len(given) / self._rate, MIN_SPREAD), MAX_SPREAD)
-        return width * self._random.uniform(0.5, 1.5)
+        """Seconds after which a client rejected at `now` may retry; `now` (seconds) must not decrease."""
+        self._rejected_at.append(now)
+        while self._rejected_at[0] < now - COUNTING_WINDOW:
+            self._rejected_at.popleft()
+        spread = MIN_SPREAD * len(self._rejected_at) / self._rate
+        bounded = min(max(spread, MIN_SPREAD), MAX_SPREAD)
+        return bounded * self._random.uniform(MIN_JITTER, MAX_JITTER)
