--- a/frostfall/net/operations.py
+++ b/frostfall/net/operations.py
@@ -61,7 +61,7 @@
     def __init__(self, client: WaitingClient, request: str) -> None:
         self.client, self.request = client, request
 
-    def tell(self, answer: bytes) -> None:
+    def notify(self, answer: bytes) -> None:
         """Answer, if the client still waits for this."""
         if self.client.request == self.request:
             self.client.answer(answer)
@@ -152,7 +152,7 @@
             way, told = (
                 self.operation_log.admit(name, statement.is_retry)
                 if sure
-                else (AdmissionDecision.POLL_PEERS, None)
+                else operations.Admission(AdmissionDecision.POLL_PEERS)
             )
         except (OSError, ValueError) as error:
             self._unreadable(error)
@@ -247,7 +247,7 @@
             await anyio.sleep(max(deadline - DEADLINE_MARGIN - self._clock(), 0) / 1e6)
             if one in operation.waiters:
                 operation.waiters.remove(one)
-                one.tell(failed())
+                one.notify(failed())
 
         if self.task_group:
             self.task_group.start_soon(expire)
@@ -391,7 +391,7 @@
     async def _look_up(self, name: str, one: _Try, deadline: int) -> None:
         """The same for a try that came while no unsafe work is taken here."""
         known = await self._known_elsewhere(name, deadline)
-        one.tell(self._told(known) if known else failed())
+        one.notify(self._told(known) if known else failed())
 
     async def _known_elsewhere(self, name: str, deadline: int) -> operations.OperationResult | None:
         """How an operation ended, by the others' word and what is held for those that cannot tell."""
@@ -517,7 +517,7 @@
         """
         one, operation = _Try(client, request), self._operations.get(request)
         if operation is None:
-            one.tell(answer)
+            one.notify(answer)
             return
         if over:
             del self._operations[request]
@@ -527,7 +527,7 @@
                 operation.waiters.insert(0, one)
                 self._end(operation, RecordState.SERVED, answer[: -len(READY)])
             else:
-                one.tell(answer)
+                one.notify(answer)
                 self._tell(operation, answer)  # it was served elsewhere
             return
         if end is Final.REFUSED and operation.needs_poll and not operation.confirmed_absent:
@@ -535,7 +535,7 @@
         if under_way:
             ran = end is Final.FAILED and operation.dispatched
             self._end(operation, RecordState.FAILED if ran else RecordState.NOT_EXECUTED)
-        one.tell(answer)
+        one.notify(answer)
         self._tell(operation, answer)
 
     def request_closed(self, request: str) -> None:
@@ -585,4 +585,4 @@
     def _tell(self, operation: Operation, answer: bytes) -> None:
         waiting, operation.waiters = operation.waiters, []
         for one in waiting:
-            one.tell(answer)
+            one.notify(answer)
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -41,6 +41,7 @@
     StatusReply,
 )
 from frostfall.recovery import metadata as written
+from frostfall.recovery.completeness import IncompleteReason, incomplete_detail
 from frostfall.recovery.metadata import (
     BuildRolledBack,
     CachedEndpointList,
@@ -240,7 +241,7 @@
                 f"{self.journal.condition.value}: {self.journal.condition_reason}"
             )
         if self.readiness_inputs.unusable_reason:
-            self.operation_log.incomplete_reason = self.readiness_inputs.unusable_reason
+            self.operation_log.incomplete_reason = IncompleteReason(self.readiness_inputs.unusable_reason)
             _log.error(
                 "the record cannot be used: no unsafe work is taken",
                 why=self.readiness_inputs.unusable_reason,
@@ -251,9 +252,8 @@
                     self._payload, self._open_copy
                 )
             except (OSError, ValueError) as error:
-                self.readiness_inputs.unusable_reason = self.operation_log.incomplete_reason = (
-                    f"an open operation cannot be read: {error}"
-                )
+                self.readiness_inputs.unusable_reason = f"an open operation cannot be read: {error}"
+                self.operation_log.incomplete_reason = IncompleteReason(self.readiness_inputs.unusable_reason)
                 self.disk.is_open = False
                 _log.error(
                     "the record cannot be used: no unsafe work is taken",
@@ -349,7 +349,9 @@
             if peer.recorded_incarnation.number
         ]
         if self.readiness_inputs.incomplete_reason or self._mute:
-            kept.append(RecordIncomplete(self.readiness_inputs.incomplete_reason, self._mute))
+            kept.append(
+                RecordIncomplete(incomplete_detail(self.readiness_inputs.incomplete_reason), self._mute)
+            )
         if self._gone_back:
             kept.append(BuildRolledBack(self._gone_back))
         kept += [
@@ -434,10 +436,10 @@
         facts.silent_members = tuple(name for name in self.membership.peers if name not in here)
         facts.exposure_window_elapsed = now >= self._window
         if self.replication:
-            facts.replica_holders = self.replication.holder_counts
+            facts.reachable_replicas, facts.required_replicas = self.replication.holder_counts
             if self.replication.is_degraded != ("few" in self._noted):
                 self._noted ^= {"few"}
-                _log.warning("copies", fewer=self.replication.is_degraded, holders=facts.replica_holders[0])
+                _log.warning("copies", fewer=self.replication.is_degraded, holders=facts.reachable_replicas)
         facts.contesting_incarnation = self.membership.contested_incarnation
         if self.membership.superseded_by and not facts.superseded_reason:
             facts.superseded_reason = (
@@ -485,8 +487,8 @@
             self.journal.last_durable_batch,
             self.membership.incarnation_token,
             self._wall(),
-            waiting[0].value if waiting else "",
-            self.readiness_inputs.incomplete_reason if self._doubt_on_disk else "",
+            waiting.stage.value if waiting else "",
+            incomplete_detail(self.readiness_inputs.incomplete_reason) if self._doubt_on_disk else "",
             (self._last.number, self._last.durable_batch, self._last.token),
             (kept.number, kept.durable_batch, kept.token),
             peer.state is MemberState.ALIVE,
@@ -614,13 +616,14 @@
         self._in_doubt(self.membership.stale_reason)
         _log.error(
             "the folder is lost, swapped or old: it proves nothing",
-            why=self.readiness_inputs.incomplete_reason,
+            why=incomplete_detail(self.readiness_inputs.incomplete_reason),
         )
         self._note_doubt()
 
     def _in_doubt(self, why: str) -> None:
         """What this record lacks proves nothing from now on; without a reason: it does again."""
-        self.readiness_inputs.incomplete_reason = self.operation_log.incomplete_reason = why
+        reason = IncompleteReason(why) if why else None
+        self.readiness_inputs.incomplete_reason = self.operation_log.incomplete_reason = reason
         self._mute = self._mute or bool(why)
         if self.replica_repair and why:
             self.replica_repair.scheduler.mark_all_incomplete()
@@ -644,7 +647,7 @@
         assert self.replica_repair
         _log.warning(
             "the record is whole by its copies",
-            doubt=self.readiness_inputs.incomplete_reason,
+            doubt=incomplete_detail(self.readiness_inputs.incomplete_reason),
             owners=sorted(self.replica_repair.scheduler.incomplete_owners),
         )
         self._doubt_over()
@@ -662,7 +665,7 @@
         return self._note_doubt()
 
     def _rotten(self, why: str) -> None:
-        self._in_doubt(self.readiness_inputs.incomplete_reason or why)
+        self._in_doubt(incomplete_detail(self.readiness_inputs.incomplete_reason) or why)
         if self.disk.is_open:
             self._note_doubt()
         self._touch()
@@ -672,7 +675,9 @@
             self._doubt_on_disk = good
 
         self._doubt_on_disk = False
-        ticket = self._note(RecordIncomplete(self.readiness_inputs.incomplete_reason, self._mute))
+        ticket = self._note(
+            RecordIncomplete(incomplete_detail(self.readiness_inputs.incomplete_reason), self._mute)
+        )
         self.disk.when_durable(ticket, noted)
         return ticket
 
@@ -749,7 +754,10 @@
     def _unreadable(self, error: Exception) -> None:
         if not self.readiness_inputs.incomplete_reason:
             self._in_doubt(f"a record cannot be read any more: {error}")
-            _log.error("the record proves nothing any more", why=self.readiness_inputs.incomplete_reason)
+            _log.error(
+                "the record proves nothing any more",
+                why=incomplete_detail(self.readiness_inputs.incomplete_reason),
+            )
             self._touch()
 
     async def _order(self, number: int, what: str, who: str) -> MemberMessage:
@@ -761,7 +769,11 @@
             or (self.replica_repair and self.replica_repair.scheduler.incomplete_owners)
         )
         if what == "accept" and lacking and self.disk.is_open:
-            _log.warning("operators accept the loss", who=who, doubt=self.readiness_inputs.incomplete_reason)
+            _log.warning(
+                "operators accept the loss",
+                who=who,
+                doubt=incomplete_detail(self.readiness_inputs.incomplete_reason),
+            )
             self._mute = False
             ticket = self._doubt_over()
         elif what in ("hold", "lift"):
@@ -797,9 +809,9 @@
             "life": self.membership.incarnation,
             "record": journal.condition.value,
             "why": self.readiness_inputs.unusable_reason or journal.failure_reason,
-            "doubt": self.readiness_inputs.incomplete_reason,
-            "waits_for": waiting[0].value if waiting else "",
-            "because": waiting[1] if waiting else "",
+            "doubt": incomplete_detail(self.readiness_inputs.incomplete_reason),
+            "waits_for": waiting.stage.value if waiting else "",
+            "because": waiting.reason if waiting else "",
             "gates": {
                 gate.value: [point.status.value, point.reason, round(point.since, 3)]
                 for gate, point in self.readiness.conditions.items()
--- a/frostfall/recovery/readiness.py
+++ b/frostfall/recovery/readiness.py
@@ -1,26 +1,28 @@
-"""In which order service returns after a start: named gates, each with its condition and its time limit.
+"""Staged readiness after a start: named stages, each with its condition and its timeout.
 
-No I/O; times are seconds of this life. Nobody waits for somebody who may be waiting for him: what a member
-tells another needs only its own disk. Past its limit a gate lets pass what is safe without it; unsafe work
-has no limit, as no time proves that a record is whole.
+No I/O; times are seconds since the process started. There are no circular waits: what a member tells another
+needs only its own disk. A timed-out stage lets through what is safe without it. Non-idempotent work has no
+timeout, because no amount of time proves that a record is complete.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
+from frostfall.recovery.completeness import IncompleteReason
 from frostfall.recovery.options import StartupTimeouts
 
 
 class ReadinessStage(Enum):
-    """The gates, in order; the first five are steps, the others are service."""
+    """The stages, in order: first the startup steps, then the services that depend on them."""
 
-    DISK = "disk"  # the record has been read, and may be written to
-    IDENTITY = "identity"  # the own incarnation is on disk
-    ENDPOINT_LIST = "list"  # discovery's list is there
-    QUORUM = "group"  # a majority has the own incarnation on disk, and the others were waited for a little
-    OPERATIONS_SETTLED = "settled"  # what was open when the last life ended has its end on disk
+    DISK = "disk"  # the log has been replayed and is writable
+    IDENTITY = "identity"  # this member's incarnation is durable
+    ENDPOINT_LIST = "list"  # discovery has sent its endpoint list
+    QUORUM = "group"  # a majority has recorded this incarnation; the others were given a short grace period
+    OPERATIONS_SETTLED = "settled"  # operations open in the previous incarnation have a durable end
     LOCAL_READS = "reads near"
     READS = "reads"
     KEYED = "keyed"
@@ -29,221 +31,227 @@
 
 
 class ConditionStatus(Enum):
-    """How a gate stands."""
+    """Status of a stage."""
 
     PENDING = "waiting"
     READY = "open"
-    TIMED_OUT = "past its limit"  # its condition does not hold, and what can do without goes on
-    BLOCKED = "shut"  # it will not open in this life unless operators do something
+    TIMED_OUT = "past its limit"  # the condition does not hold; services that can do without it proceed
+    BLOCKED = "shut"  # stays so for this incarnation unless operators intervene
 
 
-STAGE_REQUIREMENTS: dict[
-    ReadinessStage, tuple[tuple[ReadinessStage, bool], ...]
-] = {  # for service: steps, and whether past its limit will do
+@dataclass(frozen=True, slots=True)
+class StageRequirement:
+    """A startup step that a service depends on."""
+
+    stage: ReadinessStage
+    timeout_suffices: bool  # whether the service may proceed once the step has timed out
+
+
+STAGE_REQUIREMENTS: dict[ReadinessStage, tuple[StageRequirement, ...]] = {
     ReadinessStage.LOCAL_READS: (),
-    ReadinessStage.READS: ((ReadinessStage.ENDPOINT_LIST, True),),
-    ReadinessStage.KEYED: ((ReadinessStage.ENDPOINT_LIST, True), (ReadinessStage.QUORUM, True)),
+    ReadinessStage.READS: (StageRequirement(ReadinessStage.ENDPOINT_LIST, timeout_suffices=True),),
+    ReadinessStage.KEYED: (
+        StageRequirement(ReadinessStage.ENDPOINT_LIST, timeout_suffices=True),
+        StageRequirement(ReadinessStage.QUORUM, timeout_suffices=True),
+    ),
     ReadinessStage.NON_IDEMPOTENT: (
-        (ReadinessStage.DISK, False),
-        (ReadinessStage.IDENTITY, False),
-        (ReadinessStage.ENDPOINT_LIST, True),
-        (ReadinessStage.QUORUM, False),
-        (ReadinessStage.OPERATIONS_SETTLED, False),
+        StageRequirement(ReadinessStage.DISK, timeout_suffices=False),
+        StageRequirement(ReadinessStage.IDENTITY, timeout_suffices=False),
+        StageRequirement(ReadinessStage.ENDPOINT_LIST, timeout_suffices=True),
+        StageRequirement(ReadinessStage.QUORUM, timeout_suffices=False),
+        StageRequirement(ReadinessStage.OPERATIONS_SETTLED, timeout_suffices=False),
+    ),
+    ReadinessStage.VOTES: (
+        StageRequirement(ReadinessStage.ENDPOINT_LIST, timeout_suffices=True),
+        StageRequirement(ReadinessStage.QUORUM, timeout_suffices=True),
     ),
-    ReadinessStage.VOTES: ((ReadinessStage.ENDPOINT_LIST, True), (ReadinessStage.QUORUM, True)),
 }
 
 
 @dataclass(slots=True)
 class StageCondition:
-    """One gate as it stands."""
+    """Current condition of one stage."""
 
     status: ConditionStatus = ConditionStatus.PENDING
-    reason: str = ""  # what it waits for, or why it is shut
-    since: float = 0.0  # when it came to stand so
+    reason: str = ""  # why the stage is not ready
+    since: float = 0.0  # seconds since the start at which the status last changed
+
+
+class UnreadyStage(NamedTuple):
+    """A stage that is not ready, and why."""
+
+    stage: ReadinessStage
+    reason: str
 
 
 @dataclass(slots=True)
 class ReadinessInputs:
-    """What the gates go by; the owner keeps it up to date."""
+    """Observations that the stages are evaluated from; the owner keeps them up to date."""
 
     log_replayed: bool = False
-    unusable_reason: str = ""  # why the record cannot be written to
+    unusable_reason: str = ""  # why the log cannot be opened for writing
     incarnation_durable: bool = False
     endpoint_list_received: bool = False
-    endpoint_list_known: bool = False  # at least a remembered one
-    acknowledging_members: int = 0
+    endpoint_list_known: bool = False  # received, or cached by an earlier incarnation
+    acknowledging_members: int = 0  # members, including this one, that have recorded this incarnation
     silent_members: tuple[str, ...] = ()
     unsettled_operations: int = 0
     storage_fault: str = ""  # why nothing can be written any more
     storage_full: bool = False
-    replica_holders: tuple[int, int] = (0, 0)  # of copies: how many are heard, and how many a promise needs
-    incomplete_reason: str = ""  # why the record proves nothing of what it does not hold
+    reachable_replicas: int = 0  # replica holders that are alive and have complete records
+    required_replicas: int = 0  # replica holders that a quorum write needs
+    incomplete_reason: IncompleteReason | None = None
     superseded_reason: str = ""
-    contesting_incarnation: int = 0  # a newer life of this member, which may be over
-    exposure_window_elapsed: bool = False  # what was sent to a trial before has left the window
-    votes_held_by: str = ""  # who holds votes
+    contesting_incarnation: int = 0  # a newer incarnation of this member, which may have ended
+    exposure_window_elapsed: bool = False  # attempts sent to a canary before the start are out of the window
+    votes_held_by: str = ""  # the operator who holds back votes
+
+    @property
+    def disk_blocked_reason(self) -> str:
+        """Why the log cannot be written to; empty while it can."""
+        return self.unusable_reason or self.storage_fault
 
 
 @dataclass(slots=True)
 class Readiness:
-    """All gates of one start."""
+    """The conditions of all stages since one start."""
 
     member_count: int
-    retries_marked: bool
+    retries_marked: bool  # clients mark each attempt after an operation's first as a retry
     timeouts: StartupTimeouts
     conditions: dict[ReadinessStage, StageCondition] = field(
-        default_factory=lambda: {gate: StageCondition() for gate in ReadinessStage}
+        default_factory=lambda: {stage: StageCondition() for stage in ReadinessStage}
     )
     quorum_since: float | None = None
 
     def is_ready(self, stage: ReadinessStage) -> bool:
-        """Whether this gate lets pass."""
+        """Whether this stage has been reached."""
         return self.conditions[stage].status is ConditionStatus.READY
 
     def evaluate(self, now: float, inputs: ReadinessInputs) -> list[ReadinessStage]:
-        """Look at all gates; those that came to stand differently."""
-        before = {gate: point.status for gate, point in self.conditions.items()}
-        self._steps(now, inputs)
-        for gate, needs in STAGE_REQUIREMENTS.items():
-            self._service(gate, needs, now, inputs)
-        return [gate for gate in ReadinessStage if self.conditions[gate].status is not before[gate]]
-
-    def first_unready(self) -> tuple[ReadinessStage, str] | None:
-        """The first gate that is not open, and why."""
-        return next(
-            (
-                (gate, point.reason)
-                for gate, point in self.conditions.items()
-                if point.status is not ConditionStatus.READY
-            ),
-            None,
-        )
-
-    def _set(self, gate: ReadinessStage, now: float, stand: ConditionStatus, why: str = "") -> None:
-        point = self.conditions[gate]
-        if point.status is not stand:
-            point.status, point.since = stand, now
-        point.reason = why
-
-    def _steps(self, now: float, facts: ReadinessInputs) -> None:
-        broken = facts.unusable_reason or facts.storage_fault
-        if broken:
-            self._set(ReadinessStage.DISK, now, ConditionStatus.BLOCKED, broken)
+        """Evaluate all stages and return those whose status changed."""
+        before = {stage: condition.status for stage, condition in self.conditions.items()}
+        self._evaluate_disk(now, inputs)
+        self._evaluate_identity(now, inputs)
+        self._evaluate_endpoint_list(now, inputs)
+        self._evaluate_quorum(now, inputs)
+        self._evaluate_operations_settled(now, inputs)
+        for stage in STAGE_REQUIREMENTS:
+            self._evaluate_service(stage, now, inputs)
+        return [stage for stage in ReadinessStage if self.conditions[stage].status is not before[stage]]
+
+    def first_unready(self) -> UnreadyStage | None:
+        """The first stage that is not ready; None once all are."""
+        for stage, condition in self.conditions.items():
+            if condition.status is not ConditionStatus.READY:
+                return UnreadyStage(stage, condition.reason)
+        return None
+
+    def _set(self, stage: ReadinessStage, now: float, status: ConditionStatus, reason: str = "") -> None:
+        condition = self.conditions[stage]
+        if condition.status is not status:
+            condition.status = status
+            condition.since = now
+        condition.reason = reason
+
+    def _evaluate_disk(self, now: float, inputs: ReadinessInputs) -> None:
+        if inputs.disk_blocked_reason:
+            self._set(ReadinessStage.DISK, now, ConditionStatus.BLOCKED, inputs.disk_blocked_reason)
+        elif inputs.log_replayed:
+            self._set(ReadinessStage.DISK, now, ConditionStatus.READY)
         else:
-            self._set(
-                ReadinessStage.DISK,
-                now,
-                ConditionStatus.READY if facts.log_replayed else ConditionStatus.PENDING,
-                "" if facts.log_replayed else "the record is being read",
-            )
-        if facts.superseded_reason:
-            self._set(ReadinessStage.IDENTITY, now, ConditionStatus.BLOCKED, facts.superseded_reason)
-        elif facts.contesting_incarnation:
-            self._set(
-                ReadinessStage.IDENTITY,
-                now,
-                ConditionStatus.PENDING,
-                f"life {facts.contesting_incarnation} may be there elsewhere",
-            )
-        elif facts.incarnation_durable:
-            self._set(ReadinessStage.IDENTITY, now, ConditionStatus.READY)
+            self._set(ReadinessStage.DISK, now, ConditionStatus.PENDING, "the record is being read")
+
+    def _evaluate_identity(self, now: float, inputs: ReadinessInputs) -> None:
+        stage = ReadinessStage.IDENTITY
+        if inputs.superseded_reason:
+            self._set(stage, now, ConditionStatus.BLOCKED, inputs.superseded_reason)
+        elif inputs.contesting_incarnation:
+            reason = f"life {inputs.contesting_incarnation} may be there elsewhere"
+            self._set(stage, now, ConditionStatus.PENDING, reason)
+        elif inputs.incarnation_durable:
+            self._set(stage, now, ConditionStatus.READY)
+        elif inputs.disk_blocked_reason:
+            self._set(stage, now, ConditionStatus.BLOCKED, inputs.disk_blocked_reason)
         else:
-            self._set(
-                ReadinessStage.IDENTITY,
-                now,
-                ConditionStatus.BLOCKED if broken else ConditionStatus.PENDING,
-                broken or "the own incarnation is on its way to the disk",
-            )
-        if facts.endpoint_list_received:
-            self._set(ReadinessStage.ENDPOINT_LIST, now, ConditionStatus.READY)
-        elif not self.is_ready(ReadinessStage.ENDPOINT_LIST):
-            late = now >= self.timeouts.list
-            self._set(
-                ReadinessStage.ENDPOINT_LIST,
-                now,
-                ConditionStatus.TIMED_OUT if late else ConditionStatus.PENDING,
-                "discovery has told no list",
-            )
-        self._group(now, facts)
-        if facts.unsettled_operations or not facts.log_replayed:
-            self._set(
-                ReadinessStage.OPERATIONS_SETTLED,
-                now,
-                ConditionStatus.BLOCKED if broken else ConditionStatus.PENDING,
-                f"{facts.unsettled_operations} open operations"
-                if facts.log_replayed
-                else "the record is being read",
+            reason = "the own incarnation is on its way to the disk"
+            self._set(stage, now, ConditionStatus.PENDING, reason)
+
+    def _evaluate_endpoint_list(self, now: float, inputs: ReadinessInputs) -> None:
+        stage = ReadinessStage.ENDPOINT_LIST
+        if inputs.endpoint_list_received:
+            self._set(stage, now, ConditionStatus.READY)
+        elif not self.is_ready(stage):
+            status = self._timeout_status(now, self.timeouts.list)
+            self._set(stage, now, status, "discovery has told no list")
+
+    def _evaluate_quorum(self, now: float, inputs: ReadinessInputs) -> None:
+        stage = ReadinessStage.QUORUM
+        if self.is_ready(stage):  # a member lost after the start does not undo it
+            return
+        if inputs.acknowledging_members <= self.member_count // 2:
+            self.quorum_since = None
+            reason = (
+                f"{inputs.acknowledging_members} of {self.member_count} have this life on disk, "
+                f"{self.member_count // 2 + 1} are needed"
             )
+            self._set(stage, now, self._timeout_status(now, self.timeouts.group), reason)
+            return
+        if self.quorum_since is None:
+            self.quorum_since = now
+        if not inputs.silent_members or now - self.quorum_since >= self.timeouts.others:
+            self._set(stage, now, ConditionStatus.READY)
         else:
-            self._set(ReadinessStage.OPERATIONS_SETTLED, now, ConditionStatus.READY)
+            reason = f"not heard yet: {', '.join(inputs.silent_members)}"
+            self._set(stage, now, ConditionStatus.PENDING, reason)
 
-    def _group(self, now: float, facts: ReadinessInputs) -> None:
-        if self.is_ready(
-            ReadinessStage.QUORUM
-        ):  # it was heard; who leaves afterwards is no matter of the start
-            return
-        if facts.acknowledging_members > self.member_count // 2:
-            if self.quorum_since is None:
-                self.quorum_since = now
-            if not facts.silent_members or now - self.quorum_since >= self.timeouts.others:
-                self._set(ReadinessStage.QUORUM, now, ConditionStatus.READY)
-            else:
-                self._set(
-                    ReadinessStage.QUORUM,
-                    now,
-                    ConditionStatus.PENDING,
-                    f"not heard yet: {', '.join(facts.silent_members)}",
-                )
+    def _evaluate_operations_settled(self, now: float, inputs: ReadinessInputs) -> None:
+        stage = ReadinessStage.OPERATIONS_SETTLED
+        if inputs.log_replayed and not inputs.unsettled_operations:
+            self._set(stage, now, ConditionStatus.READY)
             return
-        self.quorum_since = None
-        late = now >= self.timeouts.group
-        self._set(
-            ReadinessStage.QUORUM,
-            now,
-            ConditionStatus.TIMED_OUT if late else ConditionStatus.PENDING,
-            f"{facts.acknowledging_members} of {self.member_count} have this life on disk, "
-            f"{self.member_count // 2 + 1} are needed",
-        )
-
-    def _service(
-        self,
-        gate: ReadinessStage,
-        needs: tuple[tuple[ReadinessStage, bool], ...],
-        now: float,
-        facts: ReadinessInputs,
-    ) -> None:
-        for step, late_will_do in needs:
-            point = self.conditions[step]
-            if point.status is ConditionStatus.READY or (
-                late_will_do and point.status is ConditionStatus.TIMED_OUT
-            ):
+        status = ConditionStatus.BLOCKED if inputs.disk_blocked_reason else ConditionStatus.PENDING
+        if inputs.log_replayed:
+            self._set(stage, now, status, f"{inputs.unsettled_operations} open operations")
+        else:
+            self._set(stage, now, status, "the record is being read")
+
+    def _timeout_status(self, now: float, timeout: float) -> ConditionStatus:
+        return ConditionStatus.TIMED_OUT if now >= timeout else ConditionStatus.PENDING
+
+    def _evaluate_service(self, stage: ReadinessStage, now: float, inputs: ReadinessInputs) -> None:
+        for requirement in STAGE_REQUIREMENTS[stage]:
+            required = self.conditions[requirement.stage]
+            if required.status is ConditionStatus.READY:
                 continue
-            shut = point.status is ConditionStatus.BLOCKED
-            self._set(
-                gate,
-                now,
-                ConditionStatus.BLOCKED if shut else ConditionStatus.PENDING,
-                f"{step.value}: {point.reason}",
-            )
+            if requirement.timeout_suffices and required.status is ConditionStatus.TIMED_OUT:
+                continue
+            blocked = required.status is ConditionStatus.BLOCKED
+            status = ConditionStatus.BLOCKED if blocked else ConditionStatus.PENDING
+            self._set(stage, now, status, f"{requirement.stage.value}: {required.reason}")
             return
-        why = self._own_reason(gate, facts)
-        self._set(gate, now, ConditionStatus.PENDING if why else ConditionStatus.READY, why)
+        reason = self._service_pending_reason(stage, inputs)
+        self._set(stage, now, ConditionStatus.PENDING if reason else ConditionStatus.READY, reason)
 
-    def _own_reason(self, gate: ReadinessStage, facts: ReadinessInputs) -> str:
-        if gate is ReadinessStage.LOCAL_READS and not facts.endpoint_list_known:
+    def _service_pending_reason(self, stage: ReadinessStage, inputs: ReadinessInputs) -> str:
+        """Why a service is not ready although its requirements are met; empty where it is."""
+        if stage is ReadinessStage.LOCAL_READS and not inputs.endpoint_list_known:
             return "no server is known"
-        if gate is ReadinessStage.NON_IDEMPOTENT:
-            heard, needed = facts.replica_holders
-            if heard < needed:
-                return f"{heard} sound holders of copies are heard, {needed} are needed"
-            if facts.storage_full:
-                return "the folder has reached its bound"
-            if facts.incomplete_reason and not self.retries_marked:
-                return f"the record proves nothing: {facts.incomplete_reason}; operators have to accept that"
-        if gate is ReadinessStage.VOTES:
-            if not facts.exposure_window_elapsed:
+        if stage is ReadinessStage.NON_IDEMPOTENT:
+            return self._non_idempotent_pending_reason(inputs)
+        if stage is ReadinessStage.VOTES:
+            if not inputs.exposure_window_elapsed:
                 return "exposure may be spent for one window more"
-            if facts.votes_held_by:
-                return f"held by {facts.votes_held_by}"
+            if inputs.votes_held_by:
+                return f"held by {inputs.votes_held_by}"
+        return ""
+
+    def _non_idempotent_pending_reason(self, inputs: ReadinessInputs) -> str:
+        reachable, required = inputs.reachable_replicas, inputs.required_replicas
+        if reachable < required:
+            return f"{reachable} sound holders of copies are heard, {required} are needed"
+        if inputs.storage_full:
+            return "the folder has reached its bound"
+        if inputs.incomplete_reason and not self.retries_marked:
+            return f"the record proves nothing: {inputs.incomplete_reason}; operators have to accept that"
         return ""
