--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -162,7 +162,7 @@
         told = msgspec.convert(raw, Options)
         if told.group is None:
             return told
-        from frostfall.recovery.options import GroupSection  # as above
+        from frostfall.group_options import GroupSection  # as above
 
         group = msgspec.convert({"group": told.group}, GroupSection).group
         return msgspec.structs.replace(told, group=group)
--- a/frostfall/membership/member_list.py
+++ b/frostfall/membership/member_list.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from frostfall.recovery.options import HeartbeatOptions
+from frostfall.membership.options import HeartbeatOptions
 
 
 class MemberState(Enum):
--- a/frostfall/net/operations.py
+++ b/frostfall/net/operations.py
@@ -10,6 +10,7 @@
 from anyio.abc import TaskGroup
 
 from frostfall import interface as api
+from frostfall.group_options import GroupOptions
 from frostfall.membership.member_list import MemberList, MemberState
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection, PeerOperationStatus
@@ -21,7 +22,6 @@
 from frostfall.protocol.statement import Statement
 from frostfall.recovery import operation_log as operations
 from frostfall.recovery.operation_log import AdmissionDecision, Operation, OperationLog, OperationStatus
-from frostfall.recovery.options import GroupOptions
 from frostfall.recovery.readiness import Readiness, ReadinessInputs, ReadinessStage
 from frostfall.recovery.retry_after import RetryAfterJitter
 from frostfall.replication.replica_store import ReplicaStore, ReplicaUpdate
--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -16,6 +16,7 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall.config import Address, Config
+from frostfall.group_options import GroupOptions
 from frostfall.limits.stall_adjusted_clock import StallAdjustedClock
 from frostfall.membership.member_list import HeartbeatVerdict, Incarnation, MemberList, MemberState
 from frostfall.net import log_writer
@@ -52,7 +53,6 @@
     VoteHold,
 )
 from frostfall.recovery.operation_log import OperationLog, OperationStatus
-from frostfall.recovery.options import GroupOptions
 from frostfall.recovery.readiness import ConditionStatus, Readiness, ReadinessInputs, ReadinessStage
 from frostfall.recovery.retry_after import RetryAfterJitter
 from frostfall.replication.anti_entropy import AntiEntropyScheduler
--- a/frostfall/options.py
+++ b/frostfall/options.py
@@ -17,4 +17,4 @@
     """The operator file. Without one, all is as these defaults say: nothing beyond the platform's own."""
 
     slow_peers: SlowPeerOptions | None = None
-    group: Any = None  # a recovery.rules.Group, checked by `config`: who has none does not load what it needs
+    group: Any = None  # a GroupOptions, checked by `config`: who has none does not load what it needs
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,6 +12,7 @@
 
 from frostfall import config
 from frostfall.membership.member_list import HeartbeatVerdict, Incarnation, MemberList, MemberState
+from frostfall.membership.options import HeartbeatOptions
 from frostfall.protocol.member_messages import (
     AuthenticatedChannel,
     Heartbeat,
@@ -31,7 +32,7 @@
     decode_name,
     encode_payload,
 )
-from frostfall.recovery.options import HeartbeatOptions, StartupTimeouts
+from frostfall.recovery.options import StartupTimeouts
 from frostfall.recovery.readiness import ConditionStatus, Readiness, ReadinessInputs, ReadinessStage
 from frostfall.recovery.retry_after import MAX_SPREAD, RetryAfterJitter
 from frostfall.storage.options import StorageOptions
