--- a/frostfall/replication/digest_tree.py
+++ b/frostfall/replication/digest_tree.py
@@ -1,37 +1,45 @@
-"""What a record holds of an owner's operations, as two members compare it: sums over ranges of keys.
+"""A digest tree over one owner's operations, by which two members find out what one of them is missing.
 
-A hash tree over the keys' sixteen-fold prefixes (after Merkle, 1987), whose nodes are sums of entries instead
-of hashes of children (AdHash: Bellare and Micciancio, 1997): over sorted keys with running totals any node is
-one difference, so nothing is kept up while operations come and go. Sums tell accidents apart, not an
-adversary; a difference that they hide (one in 2^48 a node) is a copy that is missing until the next round.
+The tree is a hash tree over prefixes of operation keys (Merkle, 1987). A node's digest is the sum of its
+entries instead of a hash of its children (AdHash: Bellare and Micciancio, 1997). Over sorted keys with
+running totals, the digest of any node is one subtraction, so nothing has to be maintained while operations
+come and go. Sums detect accidental differences, not an adversary. A replica whose absence they hide (one in
+2^48 a node) stays missing until the next round.
 """
 
 from __future__ import annotations
 
 from array import array
 from bisect import bisect_left
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 from frostfall.storage.record_index import pack_location, unpack_location
 from frostfall.storage.segment_codec import RecordState
 
-FANOUT, BITS_PER_LEVEL, MAX_DEPTH = (
-    16,
-    4,
-    15,
-)  # children of a node, bits of a key that they take, and how far that goes
-MAX_LEAF_ENTRIES = 16  # entries of a node that are told one by one instead of by further sums
-MAX_BULK_ENTRIES = 2048  # the same where nothing of the node is here
-MAX_QUERY_NODES = 512  # nodes in one question
-_SUM, _MASK, _SUM_MASK = 6, (1 << 64) - 1, (1 << 48) - 1  # bytes of a sum that are sent
-_CHILD, _ENTRY = _SUM + 2, 9  # bytes of a child's sum and count, of a key and mark
-_COUNT_MOST = 0xFFFF
+KEY_BITS = 64  # bits of an operation key
+KEY_BYTES = 8  # bytes of an operation key in a response
+BITS_PER_LEVEL = 4  # bits of a key that one level of the tree consumes
+FANOUT = 16  # children of a node
+MAX_DEPTH = 15  # levels below the root that have digests of their own
+MAX_LEAF_ENTRIES = 16  # entries of a node that are fetched one by one instead of descending further
+MAX_BULK_ENTRIES = 2048  # the same limit where this member has no entry below the node
+MAX_QUERY_NODES = 512  # nodes in one query
+
+_SUM_BYTES = 6  # bytes of a sum in a response
+_COUNT_BYTES = 2  # bytes of a count in a response
+_STATE_BYTES = 1  # bytes of an entry's state in a response
+_CHILD_BYTES = _SUM_BYTES + _COUNT_BYTES  # bytes of a child's digest in a response
+_ENTRY_BYTES = KEY_BYTES + _STATE_BYTES  # bytes of an entry in a response
+_TOTAL_MASK = (1 << KEY_BITS) - 1  # running totals wrap at 64 bits
+_SUM_MASK = (1 << 8 * _SUM_BYTES) - 1  # sums are sent modulo 2^48
+_MAX_COUNT = (1 << 8 * _COUNT_BYTES) - 1  # larger counts are sent as this
 
 
 class DigestState(IntEnum):
-    """What counts of an operation's state between members."""
+    """What members compare of an operation's state; the values are sent between members."""
 
     MAY_HAVE_RUN = 1
     SERVED = 2
@@ -47,65 +55,90 @@
 }
 
 
+class TreeNode(NamedTuple):
+    """A node: all keys whose first `depth` groups of bits are `prefix`."""
+
+    depth: int
+    prefix: int
+
+
+class ChildDigest(NamedTuple):
+    """The digest of one child of a node."""
+
+    total: int  # the sum of its entries, modulo 2^48
+    entries: int  # how many there are, at most 65,535
+
+
+class DigestEntry(NamedTuple):
+    """One operation below a node."""
+
+    key: int
+    state: DigestState
+
+
 class DigestTree:
-    """Keys with their places in this member's log; 24 bytes an operation."""
+    """Operation keys of one owner with their locations in this member's log; 24 bytes an operation."""
 
     def __init__(self, locations: Mapping[int, int]) -> None:
-        """By the key of the operation's own name, whoever holds it."""
+        """Take packed locations by the key of the owner's operation name, not of the replica's name."""
         self._keys = array("Q", sorted(locations))
-        self._places = array("Q", (locations[key] for key in self._keys))
-        self._totals, total = array("Q", (0,)), 0
-        for key, place in zip(self._keys, self._places):
-            total = (total + key * (2 * DIGEST_STATES[unpack_location(place)[2]] + 1)) & _MASK
+        self._locations = array("Q", (locations[key] for key in self._keys))
+        self._totals = array("Q", (0,))
+        total = 0
+        for key, location in zip(self._keys, self._locations):
+            total = (total + key * (2 * _digest_state(location) + 1)) & _TOTAL_MASK
             self._totals.append(total)
 
     def with_added(self, states: Mapping[int, RecordState]) -> DigestTree:
-        """The same with what was taken over meanwhile, whose places do not matter."""
-        places = dict(zip(self._keys, self._places))
-        places.update((key, pack_location(0, 0, state)) for key, state in states.items())
-        return DigestTree(places)
+        """Return a tree that also has operations restored meanwhile; their locations are left empty."""
+        locations = dict(zip(self._keys, self._locations))
+        locations.update((key, pack_location(0, 0, state)) for key, state in states.items())
+        return DigestTree(locations)
 
     def __len__(self) -> int:
-        """How many there are."""
+        """Return the number of operations."""
         return len(self._keys)
 
-    def _span(self, depth: int, prefix: int) -> tuple[int, int]:
-        shift = 64 - BITS_PER_LEVEL * depth
-        return bisect_left(self._keys, prefix << shift), bisect_left(self._keys, (prefix + 1) << shift)
-
-    def count(self, depth: int, prefix: int) -> int:
-        """How many keys begin with this prefix."""
-        low, high = self._span(depth, prefix)
-        return high - low
-
-    def children(self, depth: int, prefix: int) -> list[tuple[int, int]]:
-        """Sum and count of each child of a node."""
-        found = []
-        for child in range(prefix * FANOUT, prefix * FANOUT + FANOUT):
-            low, high = self._span(depth + 1, child)
+    def _first_position(self, depth: int, prefix: int) -> int:
+        return bisect_left(self._keys, prefix << (KEY_BITS - BITS_PER_LEVEL * depth))
+
+    def count(self, node: TreeNode) -> int:
+        """Return the number of operations below a node."""
+        depth, prefix = node
+        return self._first_position(depth, prefix + 1) - self._first_position(depth, prefix)
+
+    def children(self, node: TreeNode) -> list[ChildDigest]:
+        """Return the digest of each child of a node, in order of prefixes."""
+        digests = []
+        first_child = node.prefix * FANOUT
+        for child in range(first_child, first_child + FANOUT):
+            low = self._first_position(node.depth + 1, child)
+            high = self._first_position(node.depth + 1, child + 1)
             total = (self._totals[high] - self._totals[low]) & _SUM_MASK
-            found.append((total, min(high - low, _COUNT_MOST)))
-        return found
+            digests.append(ChildDigest(total, min(high - low, _MAX_COUNT)))
+        return digests
 
-    def entries(self, depth: int, prefix: int) -> list[tuple[int, int]]:
-        """Key and mark of all under a node."""
-        low, high = self._span(depth, prefix)
-        return [
-            (self._keys[at], DIGEST_STATES[unpack_location(self._places[at])[2]]) for at in range(low, high)
-        ]
+    def entries(self, node: TreeNode) -> list[DigestEntry]:
+        """Return all operations below a node, sorted by key."""
+        depth, prefix = node
+        positions = range(self._first_position(depth, prefix), self._first_position(depth, prefix + 1))
+        return [DigestEntry(self._keys[at], _digest_state(self._locations[at])) for at in positions]
 
     def location(self, key: int) -> int:
-        """Where a key's record stands; 0 where there is none."""
+        """Return the packed location of a key's record; 0 where there is none."""
         at = bisect_left(self._keys, key)
-        return self._places[at] if at < len(self._keys) and self._keys[at] == key else 0
+        return self._locations[at] if at < len(self._keys) and self._keys[at] == key else 0
 
     def lacks(self, key: int, state: int) -> bool:
-        """Whether another's entry says more than is known here."""
-        place = self.location(key)
-        return not place or (
-            state == DigestState.SERVED
-            and DIGEST_STATES[unpack_location(place)[2]] is DigestState.MAY_HAVE_RUN
-        )
+        """Return whether another member's entry tells more than this tree has."""
+        location = self.location(key)
+        if not location:
+            return True
+        return state == DigestState.SERVED and _digest_state(location) is DigestState.MAY_HAVE_RUN
+
+
+def _digest_state(location: int) -> DigestState:
+    return DIGEST_STATES[unpack_location(location)[2]]
 
 
 EMPTY_TREE = DigestTree({})
@@ -113,84 +146,113 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestQuery:
-    """Sums of these nodes' children, or all entries under them."""
+    """Asks for the digests of these nodes' children, or for all entries below them."""
 
     wants_entries: bool
     depth: int
     prefixes: list[int]
 
+    @property
+    def nodes(self) -> Iterable[TreeNode]:
+        """The nodes that are asked about, all at one depth."""
+        return (TreeNode(self.depth, prefix) for prefix in self.prefixes)
+
 
 def answer_query(tree: DigestTree, query: DigestQuery) -> bytes:
-    """What a question is answered with; ValueError for one that no comparison asks."""
-    most = MAX_DEPTH + 1 if query.wants_entries else MAX_DEPTH
+    """Encode the response to a query; ValueError where it names nodes that the tree cannot have."""
+    max_depth = MAX_DEPTH + 1 if query.wants_entries else MAX_DEPTH
     if (
         len(query.prefixes) > MAX_QUERY_NODES
-        or not 0 <= query.depth <= most
+        or not 0 <= query.depth <= max_depth
         or any(not 0 <= prefix < FANOUT**query.depth for prefix in query.prefixes)
     ):
         raise ValueError("not a node of the tree")
-    parts = []
-    for prefix in query.prefixes:
+    parts: list[bytes] = []
+    for node in query.nodes:
         if query.wants_entries:
-            parts += [
-                key.to_bytes(8, "big") + bytes((mark,)) for key, mark in tree.entries(query.depth, prefix)
-            ]
+            parts += [_encode_entry(entry) for entry in tree.entries(node)]
         else:
-            parts += [
-                total.to_bytes(_SUM, "big") + count.to_bytes(2, "big")
-                for total, count in tree.children(query.depth, prefix)
-            ]
+            parts += [_encode_child(child) for child in tree.children(node)]
     return b"".join(parts)
 
 
+def _encode_entry(entry: DigestEntry) -> bytes:
+    return entry.key.to_bytes(KEY_BYTES, "big") + bytes((entry.state,))
+
+
+def _encode_child(child: ChildDigest) -> bytes:
+    return child.total.to_bytes(_SUM_BYTES, "big") + child.entries.to_bytes(_COUNT_BYTES, "big")
+
+
+def _decode_child(data: bytes, at: int) -> ChildDigest:
+    count_at = at + _SUM_BYTES
+    return ChildDigest(
+        total=int.from_bytes(data[at:count_at], "big"),
+        entries=int.from_bytes(data[count_at : at + _CHILD_BYTES], "big"),
+    )
+
+
 class TreeComparison:
-    """Finds what another's catalogue has and one's own lacks, by few questions.
+    """Finds the keys that another member's tree has and this member's lacks, with few queries.
 
-    Ask `question`, hand in what came with `answered`, until there is none; `lacking` grows meanwhile.
+    Send what `next_query` gives and hand each response to `handle_response`, until there is no further query.
+    `missing_keys` grows meanwhile.
     """
 
     def __init__(self, own: DigestTree) -> None:
-        """Nothing is known of the other one yet."""
+        """Start at the root: nothing is known of the other tree."""
         self._own = own
-        self._sums: list[tuple[int, int]] = [(0, 0)]  # nodes whose children's sums are to be asked for
-        self._leaves: list[tuple[int, int]] = []  # nodes whose entries are
-        self.missing_keys: list[int] = []  # keys
+        self._inner_nodes = [TreeNode(0, 0)]  # nodes whose children's digests are still to be fetched
+        self._leaf_nodes: list[TreeNode] = []  # nodes whose entries are still to be fetched
+        self.missing_keys: list[int] = []
 
     def next_query(self) -> DigestQuery | None:
-        """The next one, of nodes of one depth; None where all is known."""
-        for nodes, entries in ((self._leaves, True), (self._sums, False)):
-            if nodes:
-                depth = nodes[0][0]
-                # Danger: a node with nothing of it here may stand for many entries.
-                most = 1 if entries and self._own.count(*nodes[0]) == 0 else MAX_QUERY_NODES
-                asked = [node for node in nodes if node[0] == depth][:most]
-                taken = set(asked)
-                nodes[:] = [node for node in nodes if node not in taken]
-                return DigestQuery(entries, depth, [prefix for _, prefix in asked])
+        """Return the next query, of nodes at one depth; None where the comparison is complete."""
+        if self._leaf_nodes:
+            # A node without an entry here may have as many as MAX_BULK_ENTRIES there: one at a time.
+            is_bulk = self._own.count(self._leaf_nodes[0]) == 0
+            return self._take_query(self._leaf_nodes, True, 1 if is_bulk else MAX_QUERY_NODES)
+        if self._inner_nodes:
+            return self._take_query(self._inner_nodes, False, MAX_QUERY_NODES)
         return None
 
+    def _take_query(self, nodes: list[TreeNode], wants_entries: bool, limit: int) -> DigestQuery:
+        """Remove up to `limit` nodes of the first one's depth from a list and ask about them."""
+        depth = nodes[0].depth
+        taken = [node for node in nodes if node.depth == depth][:limit]
+        taken_set = set(taken)
+        nodes[:] = [node for node in nodes if node not in taken_set]
+        return DigestQuery(wants_entries, depth, [node.prefix for node in taken])
+
     def handle_response(self, query: DigestQuery, data: bytes) -> None:
-        """Take an answer in; ValueError where it is none to this question."""
+        """Take in the response to a query; ValueError where its length does not fit the query."""
         if query.wants_entries:
-            if len(data) % _ENTRY:
-                raise ValueError("entries of another length")
-            for at in range(0, len(data), _ENTRY):
-                key = int.from_bytes(data[at : at + 8], "big")
-                if self._own.lacks(key, data[at + 8]):
-                    self.missing_keys.append(key)
-            return
-        if len(data) != _CHILD * FANOUT * len(query.prefixes):
+            self._handle_entries(data)
+        else:
+            self._handle_children(query, data)
+
+    def _handle_entries(self, data: bytes) -> None:
+        if len(data) % _ENTRY_BYTES:
+            raise ValueError("entries of another length")
+        for at in range(0, len(data), _ENTRY_BYTES):
+            key = int.from_bytes(data[at : at + KEY_BYTES], "big")
+            if self._own.lacks(key, data[at + KEY_BYTES]):
+                self.missing_keys.append(key)
+
+    def _handle_children(self, query: DigestQuery, data: bytes) -> None:
+        if len(data) != _CHILD_BYTES * FANOUT * len(query.prefixes):
             raise ValueError("sums of another length")
         at = 0
-        for prefix in query.prefixes:
-            for child, mine in enumerate(self._own.children(query.depth, prefix), prefix * FANOUT):
-                total = int.from_bytes(data[at : at + _SUM], "big")
-                count = int.from_bytes(data[at + _SUM : at + _CHILD], "big")
-                at += _CHILD
-                if count and (total, count) != mine:
-                    leaf = (
-                        count <= MAX_LEAF_ENTRIES
-                        or (mine[1] == 0 and count <= MAX_BULK_ENTRIES)
-                        or query.depth + 1 >= MAX_DEPTH
-                    )
-                    (self._leaves if leaf else self._sums).append((query.depth + 1, child))
+        for node in query.nodes:
+            for child_prefix, own in enumerate(self._own.children(node), node.prefix * FANOUT):
+                other = _decode_child(data, at)
+                at += _CHILD_BYTES
+                if other.entries and other != own:
+                    child = TreeNode(node.depth + 1, child_prefix)
+                    (self._leaf_nodes if _is_leaf(child, own, other) else self._inner_nodes).append(child)
+
+
+def _is_leaf(node: TreeNode, own: ChildDigest, other: ChildDigest) -> bool:
+    """Whether a differing node's entries are fetched instead of its children's digests."""
+    max_entries = MAX_LEAF_ENTRIES if own.entries else MAX_BULK_ENTRIES
+    return other.entries <= max_entries or node.depth >= MAX_DEPTH
