--- a/frostfall/replication/__init__.py
+++ b/frostfall/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of what an agent holds for others, decided without I/O."""
+"""Replication of operation records between members: replica stores, quorums and anti-entropy, without I/O."""
