--- a/frostfall/net/recovery.py
+++ b/frostfall/net/recovery.py
@@ -56,7 +56,7 @@
 from frostfall.recovery.readiness import ConditionStatus, Readiness, ReadinessInputs, ReadinessStage
 from frostfall.recovery.retry_after import RetryAfterJitter
 from frostfall.replication.anti_entropy import AntiEntropyScheduler
-from frostfall.replication.operator_holds import NO_HOLD, OperatorHolds
+from frostfall.replication.operator_holds import NO_HOLD, OperatorHold, OperatorHolds
 from frostfall.replication.replica_store import ReplicaStore, is_replica_name
 from frostfall.storage import segment_codec
 from frostfall.storage.segment_codec import Record, RecordState
@@ -320,7 +320,7 @@
             case BuildRolledBack(build):
                 self._gone_back = max(self._gone_back, build)
             case VoteHold(who, on, serial, member):
-                self.vote_holds.restore(member, (serial, who if on else ""))
+                self.vote_holds.restore(member, OperatorHold(serial, who if on else ""))
                 self.readiness_inputs.votes_held_by = self.vote_holds.own_hold[1]
             case ReplicaAssignment() as keeps:
                 self._keeps = keeps
@@ -558,7 +558,7 @@
         if not self.disk.is_open:
             return
         theirs, mine = self.vote_holds.merge_gossip(
-            beat.sender, beat.operator_hold, beat.recorded_operator_hold
+            beat.sender, OperatorHold(*beat.operator_hold), OperatorHold(*beat.recorded_operator_hold)
         )
         if mine:
             self.readiness_inputs.votes_held_by = mine[1]
