--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -247,7 +247,7 @@
         if now >= self._due:
             self._due = now + repair.options.round
             repair.schedule(now)
-            if not repair.peers_of(repair.own):
+            if not repair.peers_of(repair.own_name):
                 await self._survey()  # nobody to compare with: the checksums are looked at all the same
         here = {name for name in self._lines if peers[name].state is MemberState.ALIVE}
         repair.update_unavailable(now, set(peers) - here)
@@ -272,7 +272,7 @@
                 good = True
             except SyncError as error:
                 _log.info("not compared", owner=pair.owner, party=pair.peer, why=str(error))
-            self.scheduler.record_result(pair, self._steady(), good, sure)
+            self.scheduler.record_result(pair, self._steady(), succeeded=good, authoritative=sure)
         if self.restored_operations > before:
             _log.info(
                 "taken over",
@@ -285,7 +285,7 @@
         """Take what a party has of an owner's record and this member lacks; whether the party was sure."""
         sure = True
         for fences in (False, True):
-            if fences and pair.owner in (pair.peer, self.scheduler.own):
+            if fences and pair.owner in (pair.peer, self.scheduler.own_name):
                 continue  # an owner has none
             mine, had = own.get((pair.owner, fences), EMPTY_TREE), dict[int, RecordState]()
             comparison = TreeComparison(mine)
