--- a/frostfall/replication/options.py
+++ b/frostfall/replication/options.py
@@ -1,4 +1,4 @@
-"""What operators set on copies: the key `copies` of the section `group`."""
+"""Operators' options for replication: the key `copies` of the section `group`."""
 
 from __future__ import annotations
 
@@ -6,29 +6,38 @@
 
 import msgspec
 
+MAX_VALUE = 1e9  # the largest rate (bytes a second) and interval (seconds) that are accepted
+MIN_VALUES = {
+    "rate": 1000.0,  # bytes a second
+    "round": 1.0,  # seconds
+    "spare": 0.0,  # seconds
+}
+
 
 class ReplicationOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many other members keep an agent's record, and how many of them a promise waits for."""
+    """How many members hold an agent's record, and how many acknowledge a write; fields are the keys."""
 
-    kept: int = 3
-    acknowledged: int = 2
-    few: Literal["refuse", "take"] = "refuse"  # unsafe work while fewer holders than that are there
-    rate: float = 1_000_000.0  # bytes a second that a member takes over at most to make copies whole
-    round: float = 3600.0  # seconds between two comparisons of all copies, which read all that is on disk
-    spare: float = 60.0  # seconds that a holder is away before another member keeps copies for it; 0: never
+    kept: int = 3  # holders of a record besides its owner
+    acknowledged: int = 2  # holders that have to acknowledge a write
+    few: Literal["refuse", "take"] = "refuse"  # non-idempotent work while fewer holders than that are alive
+    rate: float = 1_000_000.0  # bytes a second that anti-entropy restores at most
+    round: float = 3600.0  # seconds between two comparisons of all replicas, which read the whole log
+    spare: float = 60.0  # seconds after which another member stands in for a holder that is away; 0: never
 
     def __post_init__(self) -> None:
-        """Check that the figures go together."""
+        """Check the values against each other and their limits; ValueError names the key."""
         if not 1 <= self.acknowledged <= self.kept:
             raise ValueError(f"acknowledged: {self.acknowledged} is not from 1 to kept, {self.kept}")
-        for key, least in (("rate", 1000.0), ("round", 1.0), ("spare", 0.0)):
-            if not least <= getattr(self, key) <= 1e9:
-                raise ValueError(f"{key}: {getattr(self, key):g} is not from {least:g} to 1e9")
+        for key, minimum in MIN_VALUES.items():
+            value = getattr(self, key)
+            if not minimum <= value <= MAX_VALUE:
+                raise ValueError(f"{key}: {value:g} is not from {minimum:g} to 1e9")
 
     def read_quorum(self, holders: int) -> int:
-        """How many of so many holders a reader needs, so that no promise can have passed all of them by.
+        """Return how many of so many holders a read needs, so as to meet every write quorum.
 
-        More than there are where promises are also given with fewer copies: nothing proves absence then.
+        With `few: "take"`, writes are also acknowledged by fewer holders, and nothing proves that an
+        operation is absent: the quorum is then larger than the number of holders.
         """
         if self.few == "take":
             return holders + 1
--- a/frostfall/replication/placement.py
+++ b/frostfall/replication/placement.py
@@ -1,8 +1,8 @@
-"""Which members keep an owner's record: the same by everybody's reckoning, and stable as members come and go.
+"""Which members hold an owner's record: every member computes the same, and few replicas move on a change.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998): each member has a weight for each owner, and the heaviest
-are taken; a member that leaves moves only what it kept. Zones first: a zone gives a second holder only once
-each other zone has given one, and the owner's own zone comes last.
+Rendezvous hashing (Thaler and Ravishankar, 1998): each member has a weight for each owner, and the members of
+the largest weights are chosen; a member that leaves moves only the records that it held. Zones come first: a
+zone gives a second holder only once every other zone has given one, and the owner's own zone comes last.
 """
 
 from __future__ import annotations
@@ -11,19 +11,23 @@
 
 
 def rendezvous_weight(owner: str, member: str) -> int:
-    """How much a member is the owner's."""
+    """Return a member's weight for an owner, a hash of both names."""
     return int.from_bytes(blake2b(f"{owner}\0{member}".encode(), digest_size=8).digest(), "big")
 
 
 def replica_holders(owner: str, zones: dict[str, str], count: int) -> tuple[str, ...]:
-    """The holders of an owner's record, best first; `zones` by member, all of them, the owner too."""
+    """Return up to `count` holders of an owner's record, best first.
+
+    `zones` has the zone of every member, the owner included.
+    """
     others = (name for name in zones if name != owner)
-    order = sorted(others, key=lambda name: rendezvous_weight(owner, name), reverse=True)
-    taken: list[str] = []
-    used = {zones[owner]: 1}
-    while order and len(taken) < count:
-        best = min(order, key=lambda name: used.get(zones[name], 0))  # the first of them in the order
-        order.remove(best)
-        taken.append(best)
-        used[zones[best]] = used.get(zones[best], 0) + 1
-    return tuple(taken)
+    by_weight = sorted(others, key=lambda name: rendezvous_weight(owner, name), reverse=True)
+    chosen: list[str] = []
+    members_in_zone = {zones[owner]: 1}
+    while by_weight and len(chosen) < count:
+        # `min` gives the first of several equals, which is the one of the largest weight.
+        best = min(by_weight, key=lambda name: members_in_zone.get(zones[name], 0))
+        by_weight.remove(best)
+        chosen.append(best)
+        members_in_zone[zones[best]] = members_in_zone.get(zones[best], 0) + 1
+    return tuple(chosen)
