--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -122,7 +122,7 @@
     def _health_check_ended(self, now: Microseconds, event: api.HealthCheckEnded) -> None:
         server = self.server_list.by_id.get(event.server)
         if server and event.outcome is Outcome.SUCCESS:
-            server.heard_at = now
+            server.last_response_at = now
             self.statistics.record_load(now, server, event.load)
 
     # ---- requests ----------------------------------------------------------------------------------
--- a/frostfall/engine/request_lifecycle.py
+++ b/frostfall/engine/request_lifecycle.py
@@ -58,7 +58,7 @@
         if self._placement.admits(request):
             yield from self._place(now, request)
         else:
-            yield from self._give_up(request)
+            yield from self._end_unserved(request)
 
     def attempt_ended(self, now: Microseconds, event: api.AttemptEnded) -> Iterator[api.Action]:
         """Learn from the end of an attempt, and go on with its request."""
@@ -78,7 +78,7 @@
             if self._retries.takes_retry(now, request, outcome):
                 yield from self._place(now, request)
             else:
-                yield from self._give_up(request)
+                yield from self._end_unserved(request)
 
     def _record_end(
         self, now: Microseconds, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded
@@ -100,7 +100,7 @@
         late = self.by_name.get(event.token)
         # If it is too early, the timer was an earlier request's of this name.
         if late and now >= late.arrival.deadline - ANSWER_MARGIN:
-            yield from self._give_up(late)
+            yield from self._end_unserved(late)
 
     def stream_started(self, event: api.StreamStarted) -> None:
         """The attempt belongs to the client from now on."""
@@ -133,7 +133,7 @@
                 self._timer_set = True
                 yield api.SetTimer(WAITING_PERIOD, WAITING_TIMER)
         else:
-            yield from self._give_up(request)
+            yield from self._end_unserved(request)
         if placement.health_check:
             yield api.CheckServerHealth(placement.health_check.info.id)
 
@@ -149,7 +149,7 @@
         request.attempts.append(Attempt(server, now, choice.relative_load))
         return api.SendAttempt(request.name, server.info.id, self._retries.timeout(now, request))
 
-    def _give_up(self, request: PendingRequest) -> Iterator[api.Action]:
+    def _end_unserved(self, request: PendingRequest) -> Iterator[api.Action]:
         if request.done or request.streaming:
             return
         yield from self._cancel(request)
--- a/frostfall/mechanisms/fleet_statistics.py
+++ b/frostfall/mechanisms/fleet_statistics.py
@@ -26,6 +26,8 @@
     largest_work: float
     smallest_slowness: float  # that one response time can show
     largest_slowness: float
+    unknown_time_share: float  # of the latency objective, expected where no response time is known
+    initial_queue_length: float  # mean of what waits at a server, before any load report
     server_memory: Microseconds  # of a server's slowness and errors, which fade to the usual ones
     rate_memory: Microseconds  # of the throughput
     peak_memory: Microseconds  # of the most that a server carried
@@ -54,18 +56,17 @@
         )
         self.profiles = defaultdict[int, BuildProfile](BuildProfile)  # by build
         self.others_in_flight = 0.0  # mean of what servers report of other agents' requests
-        self.queue_length = 1.0  # mean of what servers report to wait there
+        self.queue_length = parameters.initial_queue_length  # mean of what servers report to wait there
 
     def served(self, now: Microseconds) -> float:
         """Requests served a second of late."""
         return self.throughput.update(now, len(self._servers.available))
 
     def expected_time(self, request: PendingRequest) -> float:
-        """The response time to expect, in microseconds; half the objective where none is known."""
-        request_class = request.request_class
-        return self.times.expected(
-            request_class.name, request.arrival.service_time_hint, default=request_class.latency_objective / 2
-        )
+        """The response time to expect, in microseconds."""
+        request_class, hint = request.request_class, request.arrival.service_time_hint
+        default = request_class.latency_objective * self._parameters.unknown_time_share
+        return self.times.expected(request_class.name, hint, default=default)
 
     def record_end(self, now: Microseconds, server: ServerState, *, served: bool) -> None:
         """An attempt has ended."""
--- a/frostfall/mechanisms/hypotheses.py
+++ b/frostfall/mechanisms/hypotheses.py
@@ -20,6 +20,8 @@
     prior_failure_share: float
     prior_weight: float  # outcomes
     late_margin: float
+    prior_late_share: float
+    prior_late_weight: float  # outcomes
     min_timed: float  # answers of the baseline whose time counts
     min_timed_ratio: float  # of the baseline's timed answers to those of the build under test
     max_late_share: float  # of the baseline's timed answers
@@ -66,7 +68,10 @@
             return None
         if settled.baseline_timed < parameters.min_timed_ratio * settled.trial_timed:
             return None
-        return self._hypothesis((late + 1) / (timed + 10), parameters.late_margin)
+        share = smoothed_share(
+            late, timed, prior=parameters.prior_late_share, weight=parameters.prior_late_weight
+        )
+        return self._hypothesis(share, parameters.late_margin)
 
     def disputes(self, test: SequentialTest) -> Hypothesis | None:
         """On disputed answers; None where nobody disputes them."""
--- a/frostfall/policy/learning.py
+++ b/frostfall/policy/learning.py
@@ -16,6 +16,8 @@
     largest_work=3.0,
     smallest_slowness=0.3,
     largest_slowness=8.0,
+    unknown_time_share=0.5,
+    initial_queue_length=1.0,
     server_memory=3_000_000,  # us
     rate_memory=2_000_000,  # us
     peak_memory=20_000_000,  # us: it fades so slowly as a fleet warms up
@@ -44,7 +46,7 @@
             server.ejected_until = now + server.ejection.next()
             return
         if outcome in ANSWERS:
-            server.heard_at = now
+            server.last_response_at = now
             server.ejection.reset()
             server.ejected_until = now + OVERLOAD_EJECTION * (outcome is Outcome.OVERLOADED)
         self.statistics.record_end(now, server, served=served)
--- a/frostfall/policy/routing.py
+++ b/frostfall/policy/routing.py
@@ -77,7 +77,7 @@
             options = self._allowed(now, request, others)[:SAMPLE_SIZE]
         if not options:
             return None
-        wanted = [server for server in options if self._is_wanted(request, server)] or options
+        wanted = [server for server in options if self._accepts_build(request, server)] or options
         preferred = [server for server in wanted if server in urgent] or wanted
         # By late reports all rush to the server that looks idle; by none, to what is preferred.
         loads = {server: self.load(now, server) for server in dict.fromkeys([*sample, *preferred])}
@@ -100,7 +100,7 @@
         cold = [server for server in self.under_test if server.age(now) < warm_up]
         return cold if usable is self.servers.available else [s for s in cold if s in usable]
 
-    def _is_wanted(self, request: PendingRequest, server: ServerState) -> bool:
+    def _accepts_build(self, request: PendingRequest, server: ServerState) -> bool:
         build, state = server.info.build, self.exposure.state
         if state is None or build < self.exposure.first_covered_build:
             return True
--- a/frostfall/records.py
+++ b/frostfall/records.py
@@ -40,8 +40,8 @@
     error_rate: float = 0.0  # recent share of errors
     learned_at: Microseconds = 0  # when slowness and error rate were updated
     ejected_until: Microseconds = 0
-    heard_at: Microseconds = 0
-    checked_at: Microseconds = 0
+    last_response_at: Microseconds = 0  # of an attempt or a health check
+    checked_at: Microseconds = 0  # when a health check was sent
     warm_up_credit: float = 0.0  # sends that the warm-up budget allowed when it was last updated
     credit_updated_at: Microseconds = 0
     shared_error_rate: float = 0.0  # recent share of failures by what all agents saw
@@ -112,7 +112,7 @@
     def was_silent(self) -> bool:
         """Whether it ended without anything having come from the server since it began."""
         if self.outcome is Outcome.TIMED_OUT:
-            return self.server.heard_at <= self.sent_at
+            return self.server.last_response_at <= self.sent_at
         return self.outcome is Outcome.UNREACHABLE
 
 
@@ -166,14 +166,14 @@
     health_check: ServerState | None  # a server to be checked on this occasion
 
 
-def unknown_class(name: str, left: Microseconds) -> api.RequestClass:
+def unknown_class(name: str, time_left: Microseconds) -> api.RequestClass:
     """A class that the settings do not name, of which the least is promised."""
     return api.RequestClass(
         name=name,
         idempotency=Idempotency.NON_IDEMPOTENT,
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_window=0,
-        latency_objective=left,
-        deadline=left,
+        latency_objective=time_left,
+        deadline=time_left,
         priority_weight=0.0,
     )
