--- a/frostfall/mechanisms/server_list.py
+++ b/frostfall/mechanisms/server_list.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
 
 from frostfall import interface as api
 from frostfall.interface import Availability, Microseconds, ServerListKind
@@ -16,8 +17,8 @@
 
     __slots__ = ("_ejection", "_random", "available", "by_id")
 
-    def __init__(self, source: random.Random, *, ejection: ExponentialBackoff) -> None:
-        """Start without servers; each gets its own copy of the back-off of ejections."""
+    def __init__(self, source: random.Random, *, ejection: Callable[[], ExponentialBackoff]) -> None:
+        """Start without servers; `ejection` makes the back-off of each server's ejections."""
         self._random = source
         self._ejection = ejection
         self.by_id: dict[int, ServerState] = {}
@@ -43,9 +44,8 @@
             return False
         # Agents together push a cold server over. By a random start, parts of a send add up.
         rank, credit = self._random.random(), self._random.random()
-        ejection = ExponentialBackoff(self._ejection.first, self._ejection.longest)
         self.by_id[entry.id] = ServerState(
-            entry, ejection, rank, warm_up_credit=credit, credit_updated_at=now
+            entry, self._ejection(), rank, warm_up_credit=credit, credit_updated_at=now
         )
         return True
 
--- a/frostfall/policy/learning.py
+++ b/frostfall/policy/learning.py
@@ -1,5 +1,7 @@
 """What the end of an attempt tells of its server (types: frostfall/interface.py)."""
 
+from functools import partial
+
 from frostfall import interface as api
 from frostfall.interface import Microseconds, Outcome
 from frostfall.mechanisms.backoff import ExponentialBackoff
@@ -23,7 +25,7 @@
     peak_memory=20_000_000,  # us: it fades so slowly as a fleet warms up
 )
 OVERLOAD_EJECTION = 300_000  # us that an overloaded server is left alone
-UNREACHABLE_EJECTION = ExponentialBackoff(first=300_000, longest=4_000_000)  # us, of an unreachable one
+UNREACHABLE_EJECTION = partial(ExponentialBackoff, first=300_000, longest=4_000_000)  # us
 ANSWERS = (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED)
 ERRORS = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET)
 
