--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -191,7 +191,7 @@
     def _end_round(self, now: Microseconds, test: SequentialTest | None) -> None:
         duration, available = self.schedule.round_duration, self.server_list.available
         self.shared_health.end_round(duration)
-        zones = [(server.incarnation, server.info.zone) for server in available]
+        zones = {server.incarnation: server.info.zone for server in available}
         avoided = self.shared_health.servers_to_avoid(zones, self.random.random)
         for server in available:
             server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
--- a/frostfall/shared_health/__init__.py
+++ b/frostfall/shared_health/__init__.py
@@ -1,1 +1,1 @@
-"""What agents know of servers together, decided without I/O, clock or sockets."""
+"""Health statistics of servers, shared by all agents through push-sum gossip; no I/O, no clock."""
