--- a/frostfall/limits/__init__.py
+++ b/frostfall/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on what may wait, how slowly a peer may go, and who has to leave; no I/O, no clock."""
+"""Limits on slow peers and buffered bytes, fair scheduling and timers; decided without I/O or a clock."""
--- a/frostfall/limits/slow_peer_detector.py
+++ b/frostfall/limits/slow_peer_detector.py
@@ -1,33 +1,37 @@
-"""The one place where peers are judged: meters, budget and tally under the rules in force.
+"""Detection of slow clients and servers: the one place where drivers have peers judged.
 
-Drivers tell it what they see of a connection, in bytes and attended seconds, and carry out what it says. Each
-side of a connection is a `Side`; who has to leave is named by the driver's own object.
+Drivers report what they see of a connection, in bytes and attended seconds (`limits.stall_adjusted_clock`),
+and carry out the verdict. Each connection has a `ConnectionProgress`; the client to be evicted is named by
+the driver's own object.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 from frostfall.limits.buffer_budget import BufferBudget, BufferLimits, BufferScope
 from frostfall.limits.options import SlowPeerOptions
 from frostfall.limits.shed_counter import ShedCounter, ShedReason
 from frostfall.limits.throughput_monitor import END_UNKNOWN, MinimumRate, ThroughputMonitor, ThroughputVerdict
 
-Name = TypeVar("Name", bound=Hashable)
+Client = TypeVar("Client", bound=Hashable)
 
 REASON_BY_SCOPE = {
     BufferScope.CLIENT: ShedReason.CLIENT_BUFFER_FULL,
     BufferScope.SOURCE: ShedReason.SOURCE_BUFFER_FULL,
     BufferScope.TOTAL: ShedReason.TOTAL_BUFFER_FULL,
 }
-SUSPECT_AFTER_SECONDS = 0.15  # attended seconds: servers may pause between an answer's head and its value
+SUSPECT_AFTER_SECONDS = 0.15  # attended; servers may pause between the head of an answer and its value
 NO_LIMITS = SlowPeerOptions()
-UNLIMITED_BUFFERS = BufferLimits(reader_bytes=1 << 50, source_bytes=1 << 50, all_bytes=1 << 50)
+UNLIMITED_BYTES = 1 << 50
+UNLIMITED_BUFFERS = BufferLimits(
+    reader_bytes=UNLIMITED_BYTES, source_bytes=UNLIMITED_BYTES, all_bytes=UNLIMITED_BYTES
+)
 
 
 class ConnectionProgress:
-    """One connection: what its peer takes (`reading`) and gives (`sending`), and the class under way."""
+    """What the peer of one connection has read and sent, and the class of the request under way."""
 
     __slots__ = (
         "bytes_received",
@@ -40,123 +44,131 @@
     )
 
     def __init__(self) -> None:
-        """A connection over which nothing has gone."""
-        self.peer_reads, self.peer_sends = ThroughputMonitor(), ThroughputMonitor()
-        self.bytes_written = 0  # bytes handed over for the peer to take, in all
-        self.bytes_received = 0  # bytes that came from the peer, in all
+        """Begin with no bytes in either direction."""
+        self.peer_reads = ThroughputMonitor()
+        self.peer_sends = ThroughputMonitor()
+        self.bytes_written = 0  # for the peer to read, over the connection's life
+        self.bytes_received = 0  # from the peer, over the connection's life
         self.class_name = ""
-        # since when, in attended seconds, something has come but not whole
-        self.partial_start_bytes = 0  # what had been given when that began
+        # While a message has come in part: since when, in attended seconds, and bytes_received at that time.
         self.partial_since: float | None = None
+        self.partial_start_bytes = 0
 
 
-class SlowPeerDetector(Generic[Name]):
-    """Judges peers. Without rules it lets everybody be."""
+class Eviction(NamedTuple, Generic[Client]):
+    """A client whose connection is to be closed, and why."""
+
+    reason: ShedReason
+    client: Client
+
+
+class SlowPeerDetector(Generic[Client]):
+    """Judges clients and servers by the options in force; without options, every peer passes.
+
+    It owns the budget of buffered bytes and the counts of shed peers.
+    """
 
     def __init__(self, options: SlowPeerOptions | None = None) -> None:
-        """Under these rules, which may be replaced at any time (`renew`)."""
-        self._adopt(options)
-        self.budget: BufferBudget[Name] = BufferBudget(self._rules.waiting or UNLIMITED_BUFFERS)
-        self.shed_counter = ShedCounter(self._rules.log_every)
+        """Begin with these options, which `reconfigure` replaces."""
+        self._set_options(options)
+        self.budget: BufferBudget[Client] = BufferBudget(self._options.waiting or UNLIMITED_BUFFERS)
+        self.shed_counter = ShedCounter(self._options.log_every)
 
-    def _adopt(self, rules: SlowPeerOptions | None) -> None:
-        self._rules = rules or NO_LIMITS
-        # Asked with every answer and attempt, so that it is not worked out each time.
-        self.watches_clients, self.watches_servers = self._rules.watches_clients, self._rules.watches_servers
+    def _set_options(self, options: SlowPeerOptions | None) -> None:
+        self._options = options or NO_LIMITS
+        # Read with every answer and attempt, so they are computed once.
+        self.watches_clients = self._options.watches_clients
+        self.watches_servers = self._options.watches_servers
 
     @property
     def options(self) -> SlowPeerOptions:
-        """The rules in force."""
-        return self._rules
+        """The options in force."""
+        return self._options
 
     def reconfigure(self, options: SlowPeerOptions | None) -> None:
-        """Go by other rules from now on; what waits stays accounted for, and meters go on."""
-        self._adopt(options)
-        self.budget.limits = self._rules.waiting or UNLIMITED_BUFFERS
-        self.shed_counter.report_interval = self._rules.log_every
-
-    # ---- clients ---------------------------------------------------------------------------------------
+        """Replace the options; buffered bytes and measurements under way continue."""
+        self._set_options(options)
+        self.budget.limits = self._options.waiting or UNLIMITED_BUFFERS
+        self.shed_counter.report_interval = self._options.log_every
 
     def check_client_reading(
-        self, client: Name, progress: ConnectionProgress, source: str, now: float, buffered_bytes: int
+        self, client: Client, progress: ConnectionProgress, source: str, now: float, buffered_bytes: int
     ) -> ShedReason | None:
-        """Look at how a client takes its answers; so many bytes wait for it, the kernel's included."""
-        spent = self._reads(
-            progress, now, buffered_bytes, self._rules.clients.reading_rate(progress.class_name)
-        )
+        """Judge how a client reads its answers, with so many bytes buffered for it, the kernel's included."""
+        minimum = self._options.clients.reading_rate(progress.class_name)
+        too_slow = _reads_too_slowly(progress, now, buffered_bytes, minimum)
         self.budget.update(client, source, buffered_bytes, progress.peer_reads.throughput)
-        return ShedReason.CLIENT_READS_SLOWLY if spent else None
+        return ShedReason.CLIENT_READS_SLOWLY if too_slow else None
 
-    def record_buffered(self, client: Name, source: str, buffered_bytes: int) -> None:
-        """So many bytes wait for a client from now on, beyond what the kernel has taken."""
+    def record_buffered(self, client: Client, source: str, buffered_bytes: int) -> None:
+        """Record the bytes buffered for a client beyond what the kernel has taken, without judging it."""
         self.budget.update(client, source, buffered_bytes, None)
 
     def check_client_sending(self, progress: ConnectionProgress, now: float) -> ShedReason | None:
-        """Look at how a client gives a query that has come in part."""
-        rule = self._rules.clients.sending
-        if rule is None or progress.partial_since is None:
+        """Judge how a client sends a query that has come in part."""
+        minimum = self._options.clients.sending
+        if minimum is None or progress.partial_since is None:
             return None
-        if self._spent(progress.peer_sends, now, progress.bytes_received, END_UNKNOWN, rule):
+        if _sends_too_slowly(progress, now, minimum):
             return ShedReason.CLIENT_SENDS_SLOWLY
-        return (
-            ShedReason.CLIENT_SENDS_SLOWLY
-            if now - progress.partial_since > self._rules.clients.sending_most
-            else None
-        )
-
-    def find_eviction(self, client: Name) -> tuple[ShedReason, Name] | None:
-        """Who has to leave for what waits, now that this account has changed; ask again afterwards."""
-        found = self.budget.find_eviction(client)
-        return (REASON_BY_SCOPE[found[0]], found[1]) if found else None
+        if now - progress.partial_since > self._options.clients.sending_most:
+            return ShedReason.CLIENT_SENDS_SLOWLY
+        return None
 
-    # ---- servers ---------------------------------------------------------------------------------------
+    def find_eviction(self, client: Client) -> Eviction[Client] | None:
+        """The client to evict for buffered bytes after a change of this one's; call again afterwards."""
+        found = self.budget.find_eviction(client)
+        return Eviction(REASON_BY_SCOPE[found.scope], found.key) if found else None
 
     def check_server_reading(
         self, progress: ConnectionProgress, now: float, unread_bytes: int
     ) -> ShedReason | None:
-        """Look at how a server takes a query, with so many bytes of it not taken yet."""
-        spent = self._reads(
-            progress, now, unread_bytes, self._rules.servers.reading_rate(progress.class_name)
-        )
-        return ShedReason.SERVER_READS_SLOWLY if spent else None
+        """Judge how a server reads a query, of which it has not read so many bytes yet."""
+        minimum = self._options.servers.reading_rate(progress.class_name)
+        too_slow = _reads_too_slowly(progress, now, unread_bytes, minimum)
+        return ShedReason.SERVER_READS_SLOWLY if too_slow else None
 
     def check_server_sending(self, progress: ConnectionProgress, now: float) -> ShedReason | None:
-        """Look at how a server gives an answer that has begun."""
-        rule = self._rules.servers.sending_rate(progress.class_name)
-        spent = rule is not None and self._spent(
-            progress.peer_sends, now, progress.bytes_received, END_UNKNOWN, rule
-        )
-        return ShedReason.SERVER_SENDS_SLOWLY if spent else None
+        """Judge how a server sends an answer that has begun."""
+        minimum = self._options.servers.sending_rate(progress.class_name)
+        too_slow = minimum is not None and _sends_too_slowly(progress, now, minimum)
+        return ShedReason.SERVER_SENDS_SLOWLY if too_slow else None
 
     def suspects_server(self, progress: ConnectionProgress, now: float) -> bool:
-        """Whether an answer goes too slowly so far: grounds to send others elsewhere, not to end it."""
-        # Danger: until the window has shown it for sure, many more requests would have gone to that server.
-        rule = self._rules.servers.sending_rate(progress.class_name)
-        if (
-            rule is None
-            or progress.partial_since is None
-            or progress.peer_sends.verdict is ThroughputVerdict.IDLE
-        ):
+        """Whether an answer is too slow so far: a reason to send others elsewhere, not to abort this one."""
+        # Until the whole window has passed, many more requests would have been sent to that server.
+        minimum = self._options.servers.sending_rate(progress.class_name)
+        if minimum is None or progress.partial_since is None:
+            return False
+        if progress.peer_sends.verdict is ThroughputVerdict.IDLE:
             return False
-        span = now - progress.partial_since
-        return (
-            span >= SUSPECT_AFTER_SECONDS
-            and progress.bytes_received - progress.partial_start_bytes < rule.rate * span
-        )
+        elapsed = now - progress.partial_since
+        received = progress.bytes_received - progress.partial_start_bytes
+        return elapsed >= SUSPECT_AFTER_SECONDS and received < minimum.rate * elapsed
 
     def ended_within_response(self, progress: ConnectionProgress, now: float) -> bool:
-        """Whether an attempt, its time over, ended within an answer that had had a turn to come."""
-        # Danger: time-outs of what is safe to repeat are shorter than any window, so that by the window alone
-        # a server that drips would never be found.
-        if self._rules.servers.sending_rate(progress.class_name) is None or progress.partial_since is None:
+        """Whether an attempt that timed out ended within an answer that was under way a tick earlier."""
+        # Time-outs of idempotent requests are shorter than any window, so by the window alone a server that
+        # sends a few bytes at a time would never be found.
+        if self._options.servers.sending_rate(progress.class_name) is None or progress.partial_since is None:
             return False
         return now > progress.partial_since
 
-    def _reads(self, side: ConnectionProgress, now: float, waiting: int, rule: MinimumRate | None) -> bool:
-        return rule is not None and self._spent(
-            side.peer_reads, now, side.bytes_written - waiting, side.bytes_written, rule
-        )
 
-    @staticmethod
-    def _spent(meter: ThroughputMonitor, now: float, moved: int, due: int, rule: MinimumRate) -> bool:
-        return meter.observe(now, moved, due, rule) is ThroughputVerdict.FAILED
+def _reads_too_slowly(
+    progress: ConnectionProgress, now: float, unread_bytes: int, minimum: MinimumRate | None
+) -> bool:
+    if minimum is None:
+        return False
+    written = progress.bytes_written
+    verdict = progress.peer_reads.observe(
+        now, transferred=written - unread_bytes, due=written, minimum=minimum
+    )
+    return verdict is ThroughputVerdict.FAILED
+
+
+def _sends_too_slowly(progress: ConnectionProgress, now: float, minimum: MinimumRate) -> bool:
+    verdict = progress.peer_sends.observe(
+        now, transferred=progress.bytes_received, due=END_UNKNOWN, minimum=minimum
+    )
+    return verdict is ThroughputVerdict.FAILED
