--- a/frostfall/limits/indexed_heap.py
+++ b/frostfall/limits/indexed_heap.py
@@ -1,9 +1,8 @@
-"""An index of who would have to leave first: a binary heap that knows each entry's place.
+"""A binary heap that knows the position of each key, so that keys can be moved and removed anywhere.
 
-Setting, moving and dropping an entry takes O(log n) steps, naming the first O(1). It is made for ranks that
-change often and entries that leave from anywhere, for which `heapq` needs entries marked as void and cleared
-out, and a plain list a scan (figures: docs/design-slow-peers.md). After J. W. J. Williams, "Algorithm 232:
-Heapsort", CACM 7 (1964).
+Putting, moving and removing a key takes O(log n) steps, reading the first O(1). With `heapq`, priorities that
+change often would leave void entries behind, to be cleared out; a plain list would need a scan (figures:
+docs/design-slow-peers.md). After J. W. J. Williams, "Algorithm 232: Heapsort", CACM 7 (1964).
 """
 
 from __future__ import annotations
@@ -16,91 +15,98 @@
 
 
 class IndexedHeap(Generic[Key]):
-    """Names by rank, the highest first; those of equal rank in the order in which they came."""
+    """Keys by priority, the highest first; those of equal priority in the order in which they were added."""
 
-    __slots__ = ("_heap", "_order", "_places")
+    __slots__ = ("_heap", "_next_order", "_positions")
 
     def __init__(self) -> None:
-        """Without an entry."""
+        """Begin empty."""
+        # Plain tuples (priority, order, key), as they are compared far more often than read; orders count
+        # down, so that the earlier of two equal priorities is the greater.
         self._heap: list[tuple[Priority, int, Key]] = []
-        self._places: dict[Key, int] = {}
-        self._order = 0
+        self._positions: dict[Key, int] = {}
+        self._next_order = 0
 
     def __len__(self) -> int:
-        """How many are ranked."""
+        """The number of keys."""
         return len(self._heap)
 
-    def __contains__(self, name: object) -> bool:
-        """Whether it is ranked."""
-        return name in self._places
+    def __contains__(self, key: object) -> bool:
+        """Whether the key is in the heap."""
+        return key in self._positions
 
     def __iter__(self) -> Iterator[Key]:
-        """All names, in no order."""
-        return iter(self._places)
+        """All keys, in no order."""
+        return iter(self._positions)
 
     def priority(self, key: Key) -> Priority | None:
-        """Its rank; None where it has none."""
-        place = self._places.get(key)
-        return None if place is None else self._heap[place][0]
+        """The key's priority; None where it is not in the heap."""
+        position = self._positions.get(key)
+        return None if position is None else self._heap[position][0]
 
     @property
     def first(self) -> Key | None:
-        """Who ranks highest; None where nobody is ranked."""
+        """The key of the highest priority; None where the heap is empty."""
         return self._heap[0][2] if self._heap else None
 
     def put(self, key: Key, priority: Priority) -> None:
-        """Rank it, or rank it anew; it keeps its turn among equals."""
-        place = self._places.get(key)
-        if place is None:
-            self._order -= 1
-            self._heap.append((priority, self._order, key))
-            self._up(len(self._heap) - 1)
+        """Add a key, or change its priority; its order among equals stays."""
+        position = self._positions.get(key)
+        if position is None:
+            self._next_order -= 1
+            self._heap.append((priority, self._next_order, key))
+            self._sift_up(len(self._heap) - 1)
             return
-        old, order, _ = self._heap[place]
-        if old != priority:
-            self._heap[place] = (priority, order, key)
-            if priority > old:
-                self._up(place)
-            else:
-                self._down(place)
+        old_priority, order, _ = self._heap[position]
+        if old_priority == priority:
+            return
+        self._heap[position] = (priority, order, key)
+        if priority > old_priority:
+            self._sift_up(position)
+        else:
+            self._sift_down(position)
 
     def discard(self, key: Key) -> bool:
-        """Take it out; False where it was not in."""
-        place = self._places.pop(key, None)
-        if place is None:
+        """Remove a key; False where it was not in the heap."""
+        position = self._positions.pop(key, None)
+        if position is None:
             return False
         last = self._heap.pop()
-        if place < len(self._heap):
-            old, self._heap[place] = self._heap[place], last
-            if last[:2] > old[:2]:
-                self._up(place)
+        if position < len(self._heap):
+            removed = self._heap[position]
+            self._heap[position] = last
+            if last[:2] > removed[:2]:
+                self._sift_up(position)
             else:
-                self._down(place)
+                self._sift_down(position)
         return True
 
-    def _up(self, place: int) -> None:
-        heap, places = self._heap, self._places
-        entry = heap[place]
-        while place:
-            above = (place - 1) >> 1
-            if heap[above][:2] >= entry[:2]:
+    def _sift_up(self, position: int) -> None:
+        heap = self._heap
+        positions = self._positions
+        entry = heap[position]
+        while position:
+            parent = (position - 1) >> 1
+            if heap[parent][:2] >= entry[:2]:
                 break
-            heap[place] = heap[above]
-            places[heap[place][2]] = place
-            place = above
-        heap[place] = entry
-        places[entry[2]] = place
-
-    def _down(self, place: int) -> None:
-        heap, places = self._heap, self._places
-        entry, count = heap[place], len(heap)
-        while (below := 2 * place + 1) < count:
-            if below + 1 < count and heap[below + 1][:2] > heap[below][:2]:
-                below += 1
-            if entry[:2] >= heap[below][:2]:
+            heap[position] = heap[parent]
+            positions[heap[position][2]] = position
+            position = parent
+        heap[position] = entry
+        positions[entry[2]] = position
+
+    def _sift_down(self, position: int) -> None:
+        heap = self._heap
+        positions = self._positions
+        entry = heap[position]
+        count = len(heap)
+        while (child := 2 * position + 1) < count:
+            if child + 1 < count and heap[child + 1][:2] > heap[child][:2]:
+                child += 1
+            if entry[:2] >= heap[child][:2]:
                 break
-            heap[place] = heap[below]
-            places[heap[place][2]] = place
-            place = below
-        heap[place] = entry
-        places[entry[2]] = place
+            heap[position] = heap[child]
+            positions[heap[position][2]] = position
+            position = child
+        heap[position] = entry
+        positions[entry[2]] = position
--- a/frostfall/limits/shed_counter.py
+++ b/frostfall/limits/shed_counter.py
@@ -1,13 +1,15 @@
-"""What was shed and why: counted by reason, told once a while and not once a peer."""
+"""Counts of shed peers by reason, reported once an interval and not once a peer."""
 
 from __future__ import annotations
 
 from collections import Counter
 from enum import Enum
 
+import msgspec
+
 
 class ShedReason(Enum):
-    """Why a peer was given up; the value stands in logs and reports."""
+    """Why a peer was shed; the value stands in logs and reports."""
 
     CLIENT_READS_SLOWLY = "client reads below the least rate"
     CLIENT_SENDS_SLOWLY = "client sends below the least rate"
@@ -18,32 +20,39 @@
     SERVER_SENDS_SLOWLY = "server sends below the least rate"
 
 
+class ShedReport(msgspec.Struct, frozen=True):
+    """What was shed since the last report."""
+
+    counts: dict[str, int]  # by the reason's text, the most frequent first
+    last_peer: str  # the address of the last one, as an example
+
+
 class ShedCounter:
-    """Counts since the last report, and when the next line is due."""
+    """Counts since the start and since the last report."""
 
     def __init__(self, report_interval: float) -> None:
-        """Tell at most one line every so many seconds."""
+        """Report once in so many seconds at most."""
         self.report_interval = report_interval
-        self._told_at = float("-inf")
-        self._untold: Counter[ShedReason] = Counter()
-        self._example = ""
         self.counts: Counter[ShedReason] = Counter()  # since the start
+        self._unreported: Counter[ShedReason] = Counter()
+        self._reported_at = float("-inf")  # seconds
+        self._last_peer = ""
 
     def record(self, reason: ShedReason, peer: str) -> None:
-        """One more; `peer` stands as an example in the next line."""
+        """Count one peer, given by its address."""
         self.counts[reason] += 1
-        self._untold[reason] += 1
-        self._example = peer
+        self._unreported[reason] += 1
+        self._last_peer = peer
 
-    def report_if_due(self, now: float) -> dict[str, object] | None:
-        """What the next log line tells, by reason; None where none is due at this time, in seconds."""
-        if not self._untold or now - self._told_at < self.report_interval:
+    def report_if_due(self, now: float) -> ShedReport | None:
+        """The next report; None where none is due at `now`, in seconds."""
+        if not self._unreported or now - self._reported_at < self.report_interval:
             return None
-        told: dict[str, object] = {reason.value: count for reason, count in self._untold.most_common()}
-        self._told_at = now
-        self._untold.clear()
-        return {"shed": told, "last": self._example}
+        counts = {reason.value: count for reason, count in self._unreported.most_common()}
+        self._reported_at = now
+        self._unreported.clear()
+        return ShedReport(counts, self._last_peer)
 
     def totals(self) -> dict[str, int]:
-        """All since the start, by reason, for the health line."""
+        """All since the start, by the reason's text, for the health line."""
         return {reason.value: count for reason, count in self.counts.items()}
--- a/frostfall/net/client_connections.py
+++ b/frostfall/net/client_connections.py
@@ -15,7 +15,8 @@
 
 from frostfall import log
 from frostfall.config import Address
-from frostfall.limits.fair_scheduling import ArrivalPacer, DeficitCounter
+from frostfall.limits.arrival_pacing import ArrivalPacer
+from frostfall.limits.fair_scheduling import DeficitCounter
 from frostfall.limits.shed_counter import ShedReason
 from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
 from frostfall.net.connection_monitor import ConnectionMonitor, MonitoredConnection
@@ -584,8 +585,8 @@
 
     def on_tick(self) -> None:
         """With many open, close those that have been idle for long; told once a while who was shed."""
-        if line := self.slow_peers.shed_counter.report_if_due(monotonic()):
-            _log.warning("shed", **line)
+        if report := self.slow_peers.shed_counter.report_if_due(monotonic()):
+            _log.warning("shed", shed=report.counts, last=report.last_peer)
         if len(self._open) <= self._most * IDLE_CLOSE_FILL_FRACTION:
             return
         before = monotonic() - IDLE_CLOSE_SECONDS
