--- a/frostfall/routing/outlier_ejection.py
+++ b/frostfall/routing/outlier_ejection.py
@@ -1,9 +1,9 @@
-"""Outlier ejection: servers set apart that turned slow in the middle of an exchange, and their way back.
+"""Outlier ejection: servers that degrade in the middle of an answer are left out for a time, and restored.
 
-A server that drips looks healthy to everything that counts answers or connections: it accepts at once and
-fails no request for long. So the drivers tell of it as an event of its own. It is then set apart for a pause
-that doubles with each further time, comes back by one try at a time, and is whole again after some good tries
-in a row. A fleet that is slow as a whole is not emptied: no more than a part of it is apart at a time.
+A server that sends a few bytes at a time looks healthy to whatever counts answers or connections: it accepts
+at once and fails no request for long. So the drivers report it as an event of its own. It is then ejected for
+a time that doubles with each repetition, gets single requests afterwards, and is restored after several
+successes. No more than a part of the fleet is ejected at a time.
 """
 
 from __future__ import annotations
@@ -14,20 +14,23 @@
 import msgspec
 
 Microseconds = int
-MICROSECONDS_PER_SECOND = 1_000_000  # microseconds
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class EjectionOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How long servers stay ejected, and how many. ValueError where the figures do not go together."""
+    """How long servers stay ejected, and how many at most: a shape of the operator file.
 
-    first: float = 0.5  # seconds
-    most: float = 16.0  # seconds
-    good_tries: int = 3  # until a server counts as whole again
-    share: float = 0.34  # of the fleet at most, rounded down; one server of a fleet of two
-    forget: float = 60.0  # seconds without trouble after which the next pause is the first again
+    ValueError where the values do not fit together.
+    """
+
+    first: float = 0.5  # seconds that the first ejection lasts
+    most: float = 16.0  # seconds that an ejection lasts at most
+    good_tries: int = 3  # successes until a server is restored
+    share: float = 0.34  # of the fleet that may be ejected, rounded down; one server of a fleet of two
+    forget: float = 60.0  # seconds without degradation after which a record is dropped
 
     def __post_init__(self) -> None:
-        """Check that the figures go together."""
+        """Check that the values fit together."""
         if not 0 < self.first <= self.most < math.inf:
             raise ValueError(f"first: {self.first:g} is not from above 0 to most, {self.most:g}")
         if self.good_tries < 1:
@@ -39,60 +42,71 @@
 
 
 @dataclass(slots=True)
-class _Case:
-    until: Microseconds
-    pause: Microseconds
-    good: int = 0
+class _Record:
+    ejected_until: Microseconds
+    duration: Microseconds  # of the last ejection
+    successes: int = 0  # since it ended
 
 
 class OutlierEjections:
-    """Which servers are ejected. All calls take O(servers set apart) at most, those for a request O(1)."""
+    """Which servers are ejected. Calls take O(servers with a record), those for a request O(1)."""
 
     def __init__(self, options: EjectionOptions | None = None) -> None:
-        """With none ejected."""
+        """Begin with no server ejected."""
         self.options = options or EjectionOptions()
-        self._cases: dict[int, _Case] = {}
+        self._records: dict[int, _Record] = {}
 
     def __len__(self) -> int:
-        """How many have a case, those that are being tried included."""
-        return len(self._cases)
+        """The number of servers with a record, those included that are being restored."""
+        return len(self._records)
 
     def record_degraded(self, now: Microseconds, server: int, fleet_size: int) -> bool:
-        """It turned slow; whether it is ejected now, which it is not where too many others are."""
-        forget = self.options.forget * MICROSECONDS_PER_SECOND
-        self._cases = {name: case for name, case in self._cases.items() if now - case.until < forget}
-        case = self._cases.get(server)
-        if case and now < case.until:
-            return True  # others of its answers that were under way tell nothing new
-        first, most = (
-            int(self.options.first * MICROSECONDS_PER_SECOND),
-            int(self.options.most * MICROSECONDS_PER_SECOND),
-        )
-        pause = min(case.pause * 2, most) if case else first
-        ejected = sum(now < other.until for other in self._cases.values())
-        # Danger: where all are slow alike, the network or the agent is, and nobody would be left to serve.
-        if fleet_size < 2 or ejected + 1 > max(int(fleet_size * self.options.share), 1):
+        """Record that a server has degraded; whether it is ejected now."""
+        retention = self.options.forget * MICROSECONDS_PER_SECOND
+        self._records = {
+            name: record for name, record in self._records.items() if now - record.ejected_until < retention
+        }
+        record = self._records.get(server)
+        if record and now < record.ejected_until:
+            return True  # its other answers that were under way give no new information
+        if not self._may_eject_another(now, fleet_size):
             return False
-        self._cases[server] = _Case(now + pause, pause)
+        duration = self._next_duration(record)
+        self._records[server] = _Record(now + duration, duration)
         return True
 
+    def _may_eject_another(self, now: Microseconds, fleet_size: int) -> bool:
+        # Where all servers are slow alike, the network or this agent is, and no server would be left.
+        ejected = sum(now < record.ejected_until for record in self._records.values())
+        return fleet_size >= 2 and ejected + 1 <= max(int(fleet_size * self.options.share), 1)
+
+    def _next_duration(self, record: _Record | None) -> Microseconds:
+        if record is None:
+            return int(self.options.first * MICROSECONDS_PER_SECOND)
+        longest = int(self.options.most * MICROSECONDS_PER_SECOND)
+        return min(record.duration * 2, longest)
+
     def admits(self, now: Microseconds, server: int, in_flight: int, retryable: bool) -> bool:
-        """Whether it may get a request, with so many out there; `harmless`: it may be asked again."""
-        case = self._cases.get(server)
-        whole = case is None or case.good >= self.options.good_tries
-        if case is None or whole or now - case.until >= self.options.forget * MICROSECONDS_PER_SECOND:
+        """Whether a server may get a request, with so many in flight there.
+
+        A server whose ejection is over gets one request at a time, and only such as may be sent again.
+        """
+        record = self._records.get(server)
+        if record is None or record.successes >= self.options.good_tries:
+            return True
+        if now - record.ejected_until >= self.options.forget * MICROSECONDS_PER_SECOND:
             return True
-        # Danger: what must not run twice is no try; stuck there, it could only fail.
-        return now >= case.until and not in_flight and retryable
+        # A request that must not run twice could only fail if it got stuck there.
+        return now >= record.ejected_until and not in_flight and retryable
 
     def record_success(self, now: Microseconds, server: int) -> None:
-        """It served a request to its end."""
-        # Danger: one that is slow only after its first reply passes single tries. So its case is kept after
-        # it counts as whole, and the next pause is twice the last; what had been out before it was set apart
-        # is no try.
-        if (case := self._cases.get(server)) and now >= case.until:
-            case.good += 1
+        """Record that a server has served a request to its end."""
+        # The record is kept after the server is restored, so that the next ejection lasts longer: a server
+        # that is slow only after its first answer passes single requests. A request from before the ejection
+        # does not count.
+        if (record := self._records.get(server)) and now >= record.ejected_until:
+            record.successes += 1
 
     def forget(self, server: int) -> None:
-        """It has left the fleet, or comes as a new start."""
-        self._cases.pop(server, None)
+        """Drop the record of a server that has left the fleet or restarted."""
+        self._records.pop(server, None)
