--- a/frostfall/membership/__init__.py
+++ b/frostfall/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the group and in which life, decided without I/O."""
+"""Membership of the group: incarnations, suspicion and stale members, decided without I/O."""
--- a/frostfall/membership/member_list.py
+++ b/frostfall/membership/member_list.py
@@ -1,117 +1,126 @@
-"""Who is here, in which life, and what others have on disk of one's own life. No I/O; turns are attended.
-
-Weighed: SWIM (Das, Gupta, Motivala 2002) for incarnation numbers and suspicion; Lifeguard (Dadgar, Phillips,
-Currey 2018), which has a slow member doubt itself before others; the phi accrual detector (Hayashibara et al.
-2004), whose threshold adapts to how evenly words come. Groups are small and every member speaks with every
-other one, so there is no random choice and no relayed probe; of Lifeguard stays that a member's own pauses
-are taken off, by counting turns that it has itself attended. Suspicion decides nothing about safety.
+"""Who is in the group, in which incarnation, and what each member has recorded of the others. No I/O.
+
+Incarnation numbers and suspicion are those of SWIM (Das, Gupta, Motivala 2002). Groups are small and every
+member sends heartbeats to every other one, so there is no random choice of a target and no indirect probe.
+From Lifeguard (Dadgar, Phillips, Currey 2018) comes that a member's own pauses must not make it suspect
+others: time is counted in protocol periods that it has itself attended, so one that it slept through is none.
+The phi accrual detector (Hayashibara et al. 2004), whose threshold adapts to the variance of arrivals, was
+considered and not needed. Safety does not depend on suspicion.
+
+Each member records on disk the incarnations that it knows of the others. A member whose log is lost or
+restored from an older copy is thereby recognised: the incarnation or batch that its log ended with is older
+than recorded. It is called stale.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from frostfall.membership.options import HeartbeatOptions
 
 
 class MemberState(Enum):
-    """What a member is taken for."""
+    """What a member is taken for; the values are reported to operators."""
 
     UNKNOWN = "unheard"
     ALIVE = "here"
     SUSPECT = "suspect"
     DEAD = "away"
-    SUPERSEDED = "old life"  # it spoke in a life that a newer one has replaced
+    SUPERSEDED = "old life"  # its heartbeats are of an incarnation that a newer one has superseded
+
+
+class StateChange(NamedTuple):
+    """A member whose state has changed, and its new state."""
+
+    name: str
+    state: MemberState
 
 
 @dataclass(slots=True)
 class Incarnation:
-    """A member's life as it is known here."""
+    """One run of a member, from a start to the next."""
 
-    number: int = 0
-    durable_batch: int = 0  # the last that it had on disk
-    token: str = ""  # random, made up when the life began
+    number: int = 0  # 0: none
+    durable_batch: int = 0  # last batch that it had on disk
+    token: str = ""  # random, made when the incarnation began
 
 
 @dataclass(slots=True)
 class Peer:
     """What is known of one other member."""
 
-    incarnation: Incarnation
-    recorded_incarnation: Incarnation  # what of it is on disk here
+    incarnation: Incarnation = field(default_factory=Incarnation)
+    recorded_incarnation: Incarnation = field(default_factory=Incarnation)  # what of it is on disk here
     state: MemberState = MemberState.UNKNOWN
-    periods_since_heartbeat: int = 0  # turns since it answered
-    acknowledged_incarnation: int = 0  # the highest own incarnation that it has on disk
-    clock_offset: float = 0.0  # seconds of its wall clock before the own one
-    incomplete_reason: str = ""  # why its record proves nothing, by its own word
-    stale_reason: str = ""  # why it proves nothing, by what was known of it here: until it says so itself
-    latest_stale_reason: str = ""  # the same of whoever spoke last under its name
-    newer_own_incarnation: int = 0  # a life of this very member, newer than one's own, that it says to hear
-    newer_own_incarnation_periods: int = 0  # for how many turns
-    readiness_stage: str = ""  # the gate that it waits for
+    periods_since_heartbeat: int = 0
+    acknowledged_incarnation: int = 0  # highest own incarnation that the peer has on disk
+    clock_offset: float = 0.0  # seconds that its wall clock is ahead of the own one
+    incomplete_reason: str = ""  # why its log is incomplete, as it says itself
+    # Why its log is stale, as recorded here: until it reports an incomplete log itself.
+    stale_reason: str = ""
+    latest_stale_reason: str = ""  # the same of the sender of the latest heartbeat
+    newer_own_incarnation: int = 0  # newer incarnation of this very member that the peer says is alive
+    newer_own_incarnation_periods: int = 0  # since it says so
+    readiness_stage: str = ""  # that it waits for
 
 
 class HeartbeatVerdict(Enum):
-    """How a word that was heard stands to what is known."""
+    """How a heartbeat relates to what is known of its sender."""
 
     ACCEPTED = "good"
-    NEW_INCARNATION = "new life"  # to be written down before it is acknowledged
-    SUPERSEDED = "replaced"  # its sender has been replaced by a newer life
-
-
-def _older(kept: Incarnation, last: Incarnation) -> str:
-    """Why a folder that ended with `last` is older than what is known of it; empty where it is not."""
-    if kept.number > last.number:
-        return f"knew life {kept.number} of this member, its folder {last.number or 'none'}"
-    if kept.number and kept.number == last.number:
-        if kept.token != last.token:
-            return f"knew another life {kept.number} of this member"
-        if kept.durable_batch > last.durable_batch:
-            return (
-                f"saw batch {kept.durable_batch} on this member's disk, "
-                f"the folder ended with {last.durable_batch}"
-            )
-    return ""
+    NEW_INCARNATION = "new life"  # has to be recorded on disk before it is acknowledged
+    SUPERSEDED = "replaced"  # a newer incarnation of the sender is known
 
 
 class MemberList:
     """The group as one member sees it."""
 
     def __init__(self, own_name: str, names: tuple[str, ...], options: HeartbeatOptions) -> None:
-        """Nobody has been heard yet."""
-        self.own_name, self._rules = own_name, options
-        self.peers = {name: Peer(Incarnation(), Incarnation()) for name in names if name != own_name}
-        self.incarnation, self.incarnation_token = 0, ""  # one's own life; 0 before it is on disk
-        self.incarnation_floor = 0  # a life that one's own has to be newer than
-        self.superseded_by = 0  # a newer life of this very member, if one was heard of
-        self.stale_reason = ""  # why one's own folder is older than what others saw
+        """Create a list in which no member has been heard from; `names` may include the own one."""
+        self.own_name = own_name
+        self.peers = {name: Peer() for name in names if name != own_name}
+        self.incarnation = 0  # own number; 0 until it is on disk
+        self.incarnation_token = ""
+        self.incarnation_floor = 0  # the own number has to be higher
+        self.superseded_by = 0  # newer incarnation of this very member, once that is certain
+        self.stale_reason = ""  # why the own log is stale, as another member says
+        self._options = options
 
     @property
     def majority(self) -> int:
-        """How many are more than half."""
+        """Number of members that are more than half of the group."""
         return (len(self.peers) + 1) // 2 + 1
 
     @property
     def alive(self) -> list[str]:
-        """Members that are heard, not oneself."""
-        return [
-            name
-            for name, peer in self.peers.items()
-            if peer.state in (MemberState.ALIVE, MemberState.SUSPECT)
-        ]
+        """Names of the other members that are alive or only suspected."""
+        states = (MemberState.ALIVE, MemberState.SUSPECT)
+        return [name for name, peer in self.peers.items() if peer.state in states]
 
     @property
     def acknowledgement_count(self) -> int:
-        """How many members have one's own life on disk, oneself included."""
+        """Number of members that have the own incarnation on disk, including this one."""
         if not self.incarnation:
             return 0
         return 1 + sum(peer.acknowledged_incarnation >= self.incarnation for peer in self.peers.values())
 
+    @property
+    def contested_incarnation(self) -> int:
+        """Newer incarnation of this very member that some member says is alive; 0 if none."""
+        return max((peer.newer_own_incarnation for peer in self.peers.values()), default=0)
+
+    @property
+    def no_stale_peers(self) -> bool:
+        """Whether no other member's log is known here to be stale."""
+        return not any(peer.stale_reason for peer in self.peers.values())
+
     def restore(self, name: str, incarnation: Incarnation, stale_reason: str) -> None:
-        """What was written down of a member in an earlier life."""
+        """Take over what an earlier incarnation of this member has recorded of another one."""
         if peer := self.peers.get(name):
-            peer.recorded_incarnation, peer.stale_reason = incarnation, stale_reason
+            peer.recorded_incarnation = incarnation
+            peer.stale_reason = stale_reason
             peer.incarnation = Incarnation(incarnation.number, incarnation.durable_batch, incarnation.token)
 
     def receive_heartbeat(
@@ -123,116 +132,128 @@
         clock_offset: float,
         incomplete_reason: str,
     ) -> HeartbeatVerdict | None:
-        """A member spoke; `last` is what its folder said when it started. None for a stranger."""
+        """Process another member's heartbeat; None where the name is unknown.
+
+        `startup_incarnation` is the one that the sender's log ended with when it started.
+        """
         peer = self.peers.get(name)
         if peer is None:
             return None
-        # Danger: with its own life written down over it, what was known of an older one would be gone before
-        # the member itself has its doubt on disk. So who knew keeps it, and tells it, until then.
+        is_recorded = incarnation.token == peer.recorded_incarnation.token
+        # Recording the sender's incarnation overwrites the evidence that its log is stale. So the reason is
+        # kept here and sent to it until it has recorded itself that its log is incomplete.
         peer.latest_stale_reason = (
-            _older(peer.recorded_incarnation, startup_incarnation)
-            if incarnation.token != peer.recorded_incarnation.token
-            else ""
+            "" if is_recorded else _stale_reason(peer.recorded_incarnation, startup_incarnation)
         )
-        if incarnation.number < peer.incarnation.number or (
-            incarnation.number == peer.incarnation.number and incarnation.token != peer.incarnation.token
-        ):
+        known = peer.incarnation
+        is_other_run = incarnation.number == known.number and incarnation.token != known.token
+        if incarnation.number < known.number or is_other_run:
             if peer.state in (MemberState.UNKNOWN, MemberState.DEAD):
                 peer.state = MemberState.SUPERSEDED
             return HeartbeatVerdict.SUPERSEDED
-        peer.state, peer.periods_since_heartbeat, peer.readiness_stage = MemberState.ALIVE, 0, readiness_stage
-        peer.clock_offset, peer.incomplete_reason = clock_offset, incomplete_reason
-        fresh = incarnation.number > peer.incarnation.number
-        if fresh:
+        peer.state = MemberState.ALIVE
+        peer.periods_since_heartbeat = 0
+        peer.readiness_stage = readiness_stage
+        peer.clock_offset = clock_offset
+        peer.incomplete_reason = incomplete_reason
+        is_new = incarnation.number > known.number
+        if is_new:
             peer.acknowledged_incarnation = 0
-        if fresh or incarnation.durable_batch > peer.incarnation.durable_batch:
+        if is_new or incarnation.durable_batch > known.durable_batch:
             peer.incarnation = incarnation
-        return (
-            HeartbeatVerdict.NEW_INCARNATION
-            if peer.recorded_incarnation.token != incarnation.token
-            else HeartbeatVerdict.ACCEPTED
-        )
+        return HeartbeatVerdict.ACCEPTED if is_recorded else HeartbeatVerdict.NEW_INCARNATION
 
     def receive_view_of_self(
         self, name: str, recorded_incarnation: Incarnation, recorded_is_alive: bool, stale_reason: str
     ) -> None:
-        """A member says what it has on disk of this one, whether it hears that life, and what it doubts."""
+        """Process what another member knows of this one.
+
+        It has `recorded_incarnation` of this member on disk; `recorded_is_alive` says whether it receives
+        that incarnation's heartbeats, and `stale_reason` why it holds this member's log for stale, if it
+        does.
+        """
         peer = self.peers.get(name)
         if peer is None:
             return
-        self.stale_reason = self.stale_reason or (f"{name} {stale_reason}" if stale_reason else "")
-        if (
-            recorded_incarnation.number == self.incarnation
-            and recorded_incarnation.token == self.incarnation_token
-        ):
-            peer.acknowledged_incarnation = recorded_incarnation.number
-        elif recorded_incarnation.number >= self.incarnation > 0:
-            # Danger: who has served and then hears of a newer life that is there is the old one of two
-            # processes, and stops. Who only starts, or hears of a life that is over, takes a higher number.
-            if (
-                recorded_is_alive
-                and recorded_incarnation.number > self.incarnation
-                and self.acknowledgement_count >= self.majority
-            ):
-                peer.newer_own_incarnation = (
-                    recorded_incarnation.number
-                )  # it may be over all the same: see `turn`
+        if stale_reason and not self.stale_reason:
+            self.stale_reason = f"{name} {stale_reason}"
+        number = recorded_incarnation.number
+        if number == self.incarnation and recorded_incarnation.token == self.incarnation_token:
+            peer.acknowledged_incarnation = number
+        elif number >= self.incarnation > 0:
+            # A member that has served and then learns of a newer incarnation that is alive is the older of
+            # two processes, and stops. One that only starts, or learns of an incarnation that has ended,
+            # takes a higher number.
+            has_served = self.acknowledgement_count >= self.majority
+            if recorded_is_alive and number > self.incarnation and has_served:
+                peer.newer_own_incarnation = number  # may have ended all the same: see `advance_period`
             else:
-                peer.newer_own_incarnation, peer.newer_own_incarnation_periods = 0, 0
-                self.incarnation_floor = max(self.incarnation_floor, recorded_incarnation.number)
+                peer.newer_own_incarnation = 0
+                peer.newer_own_incarnation_periods = 0
+                self.incarnation_floor = max(self.incarnation_floor, number)
 
     def mark_recorded(self, name: str, incarnation: Incarnation, stale_reason: str = "") -> None:
-        """What was heard of a member is on disk."""
+        """Note that another member's incarnation, and why its log is stale, are on disk."""
         peer = self.peers[name]
-        if (incarnation.number, incarnation.durable_batch) > (
-            peer.recorded_incarnation.number,
-            peer.recorded_incarnation.durable_batch,
-        ):
-            if incarnation.token != peer.recorded_incarnation.token:
+        recorded = peer.recorded_incarnation
+        is_newer = (incarnation.number, incarnation.durable_batch) > (recorded.number, recorded.durable_batch)
+        if is_newer:
+            if incarnation.token != recorded.token:
                 peer.stale_reason = stale_reason or peer.stale_reason
             peer.recorded_incarnation = incarnation
 
-    @property
-    def contested_incarnation(self) -> int:
-        """A newer life of this very member that somebody says to hear; 0 where nobody does."""
-        return max((peer.newer_own_incarnation for peer in self.peers.values()), default=0)
-
-    @property
-    def no_stale_peers(self) -> bool:
-        """Whether nobody's folder is known here to be older than what was known of it."""
-        return not any(peer.stale_reason for peer in self.peers.values())
-
     def incarnations_agreed(self, tokens: dict[str, str], recorded_tokens: dict[str, dict[str, str]]) -> bool:
-        """Whether all have each other's present lives on disk, and so have judged each other's folders.
+        """Whether all members have recorded each other's present incarnations, and no log is stale.
 
-        `tokens` are the others' lives by their own word, `lives` what each has on disk of the rest. Without
-        that, one whose folder is lost could be asked before anybody has told it so.
+        `tokens` are the others' incarnation tokens as they say themselves, `recorded_tokens` what each of
+        them has recorded of the rest. Only then has every member compared every other one's log with its
+        record: otherwise one whose log is lost could be asked for operations before any member has told it
+        so.
         """
-        known = {**tokens, self.own_name: self.incarnation_token}
-        mine = {name: peer.recorded_incarnation.token for name, peer in self.peers.items()}
+        current = {**tokens, self.own_name: self.incarnation_token}
+        own_record = {name: peer.recorded_incarnation.token for name, peer in self.peers.items()}
+        records = {**recorded_tokens, self.own_name: own_record}
         return self.no_stale_peers and all(
-            told.get(name) == token
-            for who, told in {**recorded_tokens, self.own_name: mine}.items()
-            for name, token in known.items()
-            if name != who
+            recorded.get(name) == token
+            for observer, recorded in records.items()
+            for name, token in current.items()
+            if name != observer
         )
 
-    def advance_period(self) -> list[tuple[str, MemberState]]:
-        """One more attended turn; whose health has changed by it. Turns slept through are none."""
-        changed = []
+    def advance_period(self) -> list[StateChange]:
+        """Count one more attended protocol period; returns the members whose state it has changed."""
+        changes = []
         for name, peer in self.peers.items():
-            if peer.newer_own_incarnation:
-                peer.newer_own_incarnation_periods += 1
-                if (
-                    peer.newer_own_incarnation_periods > self._rules.suspect + 1
-                ):  # a life that is over is suspected by now
-                    self.superseded_by = max(self.superseded_by, peer.newer_own_incarnation)
+            self._check_superseded(peer)
             peer.periods_since_heartbeat += 1
-            before = peer.state
-            if before is MemberState.ALIVE and peer.periods_since_heartbeat > self._rules.suspect:
+            previous = peer.state
+            if previous is MemberState.ALIVE and peer.periods_since_heartbeat > self._options.suspect:
                 peer.state = MemberState.SUSPECT
-            elif before is MemberState.SUSPECT and peer.periods_since_heartbeat > self._rules.gone:
+            elif previous is MemberState.SUSPECT and peer.periods_since_heartbeat > self._options.gone:
                 peer.state = MemberState.DEAD
-            if peer.state is not before:
-                changed.append((name, peer.state))
-        return changed
+            if peer.state is not previous:
+                changes.append(StateChange(name, peer.state))
+        return changes
+
+    def _check_superseded(self, peer: Peer) -> None:
+        """Take the own incarnation for superseded once a peer has reported a newer one for long enough."""
+        if peer.newer_own_incarnation:
+            peer.newer_own_incarnation_periods += 1
+            # An incarnation that has ended would be suspected by the peer by now.
+            if peer.newer_own_incarnation_periods > self._options.suspect + 1:
+                self.superseded_by = max(self.superseded_by, peer.newer_own_incarnation)
+
+
+def _stale_reason(recorded: Incarnation, startup: Incarnation) -> str:
+    """Why a log that ended with `startup` is older than recorded; empty where it is not."""
+    if recorded.number > startup.number:
+        return f"knew life {recorded.number} of this member, its folder {startup.number or 'none'}"
+    if recorded.number and recorded.number == startup.number:
+        if recorded.token != startup.token:
+            return f"knew another life {recorded.number} of this member"
+        if recorded.durable_batch > startup.durable_batch:
+            return (
+                f"saw batch {recorded.durable_batch} on this member's disk, "
+                f"the folder ended with {startup.durable_batch}"
+            )
+    return ""
