--- /dev/null
+++ b/frostfall/net/recovery/heartbeats.py
@@ -0,0 +1,130 @@
+"""Heartbeats between members: what this member says of itself, and what follows from the others'."""
+
+from __future__ import annotations
+
+from frostfall import log
+from frostfall.membership.member_list import HeartbeatVerdict, Incarnation, MemberState, Peer
+from frostfall.net.recovery.core import MemberCore
+from frostfall.net.recovery.endpoint_cache import EndpointCache
+from frostfall.net.recovery.incarnation import IncarnationDriver
+from frostfall.net.recovery.peer_records import PeerRecorder
+from frostfall.net.recovery.record_completeness import RecordCompleteness
+from frostfall.net.recovery.rollout_relay import RolloutRelay
+from frostfall.net.recovery.vote_holds import VoteHoldDriver
+from frostfall.protocol.member_messages import Heartbeat
+
+CLOCK_SKEW_WARNING = 5.0  # seconds between two clocks from which a warning is logged
+
+_log = log.get_logger("recovery")
+
+
+class HeartbeatExchange:
+    """Makes this member's heartbeats and takes in the others'."""
+
+    def __init__(
+        self,
+        core: MemberCore,
+        incarnation: IncarnationDriver,
+        completeness: RecordCompleteness,
+        peer_recorder: PeerRecorder,
+        endpoints: EndpointCache,
+        rollout: RolloutRelay,
+        vote_holds: VoteHoldDriver,
+    ) -> None:
+        """A heartbeat carries something for each of these parts."""
+        self._core = core
+        self._incarnation = incarnation
+        self._completeness = completeness
+        self._peer_recorder = peer_recorder
+        self._endpoints = endpoints
+        self._rollout = rollout
+        self._vote_holds = vote_holds
+        self._clock_skew_reported: set[str] = set()  # members
+
+    def identity(self) -> tuple[str, str]:
+        """Name of this member and token of its incarnation."""
+        return self._core.name, self._core.membership.incarnation_token
+
+    def make(self, member: str) -> Heartbeat | None:
+        """The heartbeat for a member; None for a stranger, or before an incarnation is durable."""
+        core, membership = self._core, self._core.membership
+        peer = membership.peers.get(member)
+        if not membership.incarnation or not core.inputs.incarnation_durable or peer is None:
+            return None
+        unready = core.readiness.first_unready()
+        recorded, previous = peer.recorded_incarnation, self._incarnation.previous
+        return Heartbeat(
+            core.name,
+            membership.incarnation,
+            core.wal.last_durable_batch,
+            membership.incarnation_token,
+            core.wall_clock(),
+            unready.stage.value if unready else "",
+            self._completeness.detail if self._completeness.is_durable else "",
+            (previous.number, previous.durable_batch, previous.token),
+            (recorded.number, recorded.durable_batch, recorded.token),
+            peer.state is MemberState.ALIVE,
+            peer.latest_stale_reason or peer.stale_reason,
+            rolled_back_build=self._rollout.rolled_back_build,
+            endpoint_list_generation=self._endpoints.advertised_generation,
+            operator_hold=self._vote_holds.own_hold,
+            recorded_operator_hold=self._vote_holds.recorded_hold(member),
+        )
+
+    def receive(self, heartbeat: Heartbeat) -> None:
+        """Take in a member's heartbeat."""
+        membership = self._core.membership
+        # Before the log is replayed, what other members know of this one would look like more than it has.
+        if heartbeat.sender not in membership.peers or not self._core.inputs.log_replayed:
+            return
+        floor_before = membership.incarnation_floor
+        self._receive_incarnation(heartbeat, membership.peers[heartbeat.sender])
+        self._vote_holds.merge(heartbeat)
+        self._rollout.record_rollback(heartbeat.rolled_back_build)
+        self._endpoints.request_newer(heartbeat.sender, heartbeat.endpoint_list_generation)
+        if membership.incarnation_floor > floor_before:
+            _log.warning("others knew later lives of this member", beyond=membership.incarnation_floor)
+        self._core.changed.notify()
+
+    def _receive_incarnation(self, heartbeat: Heartbeat, peer: Peer) -> None:
+        membership, state_before = self._core.membership, peer.state
+        clock_offset = heartbeat.wall_time - self._core.wall_clock()
+        self._report_clock_skew(heartbeat.sender, clock_offset)
+        incarnation = Incarnation(heartbeat.incarnation, heartbeat.durable_batch, heartbeat.incarnation_token)
+        verdict = membership.receive_heartbeat(
+            heartbeat.sender,
+            incarnation,
+            Incarnation(*heartbeat.startup_incarnation),
+            heartbeat.readiness_stage,
+            clock_offset,
+            heartbeat.incomplete_reason,
+        )
+        if peer.state is not state_before:
+            _log.info("member", member=heartbeat.sender, health=peer.state.value, life=heartbeat.incarnation)
+        membership.receive_view_of_self(
+            heartbeat.sender,
+            Incarnation(*heartbeat.recorded_incarnation),
+            heartbeat.recorded_is_alive,
+            heartbeat.stale_reason,
+        )
+        # The own incompleteness goes to the log before the incarnation that makes others forget it.
+        self._completeness.check_staleness()
+        if verdict is HeartbeatVerdict.NEW_INCARNATION and self._core.disk.is_open:
+            self._peer_recorder.save_new(heartbeat.sender, incarnation, peer.latest_stale_reason)
+        elif verdict is HeartbeatVerdict.ACCEPTED:
+            self._receive_progress(heartbeat, peer, incarnation)
+
+    def _receive_progress(self, heartbeat: Heartbeat, peer: Peer, incarnation: Incarnation) -> None:
+        # The batches of an incarnation that is recorded go to the log from time to time only.
+        self._core.membership.mark_recorded(heartbeat.sender, incarnation)
+        startup_token = heartbeat.startup_incarnation[2]
+        # It has recorded its staleness itself by now, or other members have restored its record meanwhile.
+        is_settled = heartbeat.incomplete_reason or startup_token == heartbeat.incarnation_token
+        if peer.stale_reason and is_settled:
+            peer.stale_reason = ""
+            self._peer_recorder.save(heartbeat.sender, incarnation)
+
+    def _report_clock_skew(self, member: str, offset: float) -> None:
+        if abs(offset) > CLOCK_SKEW_WARNING and member not in self._clock_skew_reported:
+            self._clock_skew_reported.add(member)
+            _log.warning("clocks differ", member=member, ahead_s=round(offset, 1))
