--- a/frostfall/consensus/__init__.py
+++ b/frostfall/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement on the little that needs it: a replicated register, decided without I/O."""
+"""Consensus on the little state that needs it: a replicated register on Raft, without I/O."""
--- a/frostfall/consensus/raft_log.py
+++ b/frostfall/consensus/raft_log.py
@@ -1,22 +1,32 @@
-"""The log that members agree on: entries behind a snapshot, and what of it is on disk."""
+"""The replicated log of Raft: a snapshot and the entries after it."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 import msgspec
 
+MAX_ENTRIES_PER_MESSAGE = 64
+
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry: a command for the register, a new set of voters, or nothing (a leader's first)."""
+    """One entry: a command for the register, a new set of voters, or nothing (a new leader's first)."""
 
     term: int
     command: Any = None
     voters: tuple[str, ...] | None = None
 
 
+class IndexedEntry(NamedTuple):
+    """An entry with its index in the log."""
+
+    log_index: int
+    entry: Entry
+
+
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that entries up to an index have led to."""
+    """The state that all entries up to an index have led to."""
 
     index: int = 0
     term: int = 0
@@ -27,10 +37,10 @@
 class RaftLog:
     """Entries from the one after the snapshot on; indices begin with 1."""
 
-    def __init__(self, snapshot: Snapshot) -> None:
-        """With nothing behind the snapshot."""
+    def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
+        """Begin with a snapshot and the entries after it."""
         self.snapshot = snapshot
-        self.entries: list[Entry] = []
+        self.entries = list(entries)
 
     @property
     def last_index(self) -> int:
@@ -43,59 +53,64 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is not here, or no longer."""
+        """Return the term of an entry; None where the log does not have it, or no longer."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index:
             return self.entries[index - self.snapshot.index - 1].term
         return None
 
-    def entries_after(self, index: int, limit: int = 64) -> list[Entry]:
-        """Entries behind an index that is here, so many at most."""
+    def entries_after(self, index: int, limit: int = MAX_ENTRIES_PER_MESSAGE) -> list[Entry]:
+        """Return up to `limit` entries after an index that the log has."""
         begin = index - self.snapshot.index
         return self.entries[begin : begin + limit]
 
     def entry_at(self, index: int) -> Entry:
-        """One entry that is here."""
+        """Return an entry that the log has."""
         return self.entries[index - self.snapshot.index - 1]
 
     def append(self, entry: Entry) -> int:
-        """One more; its index."""
+        """Append an entry; its index."""
         self.entries.append(entry)
         return self.last_index
 
     def reconcile(self, index: int, entries: list[Entry]) -> int | None:
-        """Take in entries that follow an index: from where on the log is another now; None where it is not.
+        """Take in a leader's entries after an index; the first index that changed, None where none did.
 
-        What agrees stays: a message that comes late must not take back what came after it.
+        Entries that agree stay: a message that comes late must not undo what came after it.
         """
-        for offset, entry in enumerate(entries, 1):
-            at = index + offset
-            if at <= self.snapshot.index:
-                continue
-            if self.term_at(at) == entry.term:
+        for offset, entry in enumerate(entries):
+            entry_index = index + 1 + offset
+            if entry_index <= self.snapshot.index or self.term_at(entry_index) == entry.term:
                 continue
-            del self.entries[at - self.snapshot.index - 1 :]
-            self.entries += entries[offset - 1 :]
-            return at
+            del self.entries[entry_index - self.snapshot.index - 1 :]
+            self.entries += entries[offset:]
+            return entry_index
         return None
 
     def voters(self) -> tuple[str, ...]:
-        """Who votes, by the newest entry that says so, committed or not."""
+        """Return the voters by the newest entry that sets them, committed or not."""
         for entry in reversed(self.entries):
             if entry.voters is not None:
                 return entry.voters
         return self.snapshot.voters
 
+    def voters_as_of(self, index: int) -> tuple[str, ...]:
+        """Return the voters by the newest entry up to an index that sets them."""
+        for entry in reversed(self.entries[: index - self.snapshot.index]):
+            if entry.voters is not None:
+                return entry.voters
+        return self.snapshot.voters
+
     def voters_index(self) -> int:
-        """The index of that entry."""
+        """Return the index of the newest entry that sets the voters."""
         for offset in range(len(self.entries), 0, -1):
             if self.entries[offset - 1].voters is not None:
                 return self.snapshot.index + offset
         return self.snapshot.index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Let a snapshot stand for the entries up to its index."""
-        known = self.term_at(snapshot.index) is not None
-        keep = self.entries_after(snapshot.index, len(self.entries)) if known else []
-        self.snapshot, self.entries = snapshot, keep
+        """Replace the entries up to a snapshot's index by it; all entries where the log lacks that index."""
+        is_known = self.term_at(snapshot.index) is not None
+        self.entries = self.entries[snapshot.index - self.snapshot.index :] if is_known else []
+        self.snapshot = snapshot
--- a/frostfall/consensus/register.py
+++ b/frostfall/consensus/register.py
@@ -1,25 +1,25 @@
-"""What the group agrees on: keys with values and versions, changed only by who knows the version.
+"""The replicated register, Raft's state machine: keys with versioned values, changed by compare-and-set.
 
-A command that names another version than the present one changes nothing, and who proposed it is told: so a
-decision that was made on old knowledge has no effect. Versions only grow, also over a removal.
+A command that expects another version than the present one changes nothing, and its proposer is notified. So
+a decision that rests on outdated state has no effect. Versions only grow, also when a value is removed.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 
 class CompareAndSet(msgspec.Struct, frozen=True, tag="put", array_like=True):
-    """Set a key, if it has this version (0: if it was never set); `who` and `number` name the command."""
+    """Sets a key if it has the expected version; proposer and sequence number identify the command."""
 
     key: str
     value: Any
-    expected_version: int
+    expected_version: int  # 0: the key was never set
     proposer: str
-    sequence_number: int
+    sequence_number: int  # grows with each command of a proposer
 
 
 class VersionedValue(msgspec.Struct, frozen=True, array_like=True):
@@ -29,40 +29,56 @@
     version: int
 
 
+class _LastCommand(NamedTuple):
+    """A proposer's last command."""
+
+    sequence_number: int
+    succeeded: bool
+
+
+_NO_COMMAND = _LastCommand(0, False)
+_State = tuple[dict[str, VersionedValue], dict[str, _LastCommand]]
+
+
 class Register:
-    """The state; the same commands in the same order give the same one."""
+    """The state machine: the same commands in the same order lead to the same state."""
 
     def __init__(self, state: Any = None) -> None:
-        """Empty, or as a snapshot left it."""
-        self._cells: dict[str, VersionedValue] = {}
-        self._done: dict[str, tuple[int, bool]] = {}  # by proposer: the last command and whether it was good
+        """Begin empty, or with the state of a snapshot."""
+        self._values: dict[str, VersionedValue] = {}
+        self._last_commands: dict[str, _LastCommand] = {}  # by proposer
         if state is not None:
-            cells, done = msgspec.convert(
-                state, tuple[dict[str, VersionedValue], dict[str, tuple[int, bool]]]
-            )
-            self._cells, self._done = cells, done
+            self._values, self._last_commands = msgspec.convert(state, _State)
 
     def get(self, key: str) -> VersionedValue:
-        """A key's value and version; version 0 where it was never set."""
-        return self._cells.get(key, VersionedValue(None, 0))
+        """Return a key's value and version; version 0 where it was never set."""
+        return self._values.get(key, VersionedValue(None, 0))
 
     def items(self) -> Iterable[tuple[str, VersionedValue]]:
-        """All keys that have a value."""
-        return [(key, cell) for key, cell in sorted(self._cells.items()) if cell.value is not None]
+        """Return all keys that have a value, sorted."""
+        return [(key, value) for key, value in sorted(self._values.items()) if value.value is not None]
 
     def apply(self, command: Any) -> bool:
-        """Carry a command out; whether it changed the key. One that comes twice counts once."""
-        put = msgspec.convert(command, CompareAndSet) if not isinstance(command, CompareAndSet) else command
-        number, good = self._done.get(put.proposer, (0, False))
-        if put.sequence_number <= number:
-            return good and put.sequence_number == number
-        cell = self.get(put.key)
-        good = cell.version == put.expected_version
-        if good:
-            self._cells[put.key] = VersionedValue(put.value, cell.version + 1)
-        self._done[put.proposer] = put.sequence_number, good
-        return good
+        """Apply a command, decoded or as plain lists; whether it changed its key.
+
+        A command that comes twice is applied once.
+        """
+        request = decode_command(command)
+        last = self._last_commands.get(request.proposer, _NO_COMMAND)
+        if request.sequence_number <= last.sequence_number:
+            return last.succeeded and request.sequence_number == last.sequence_number
+        current = self.get(request.key)
+        succeeded = current.version == request.expected_version
+        if succeeded:
+            self._values[request.key] = VersionedValue(request.value, current.version + 1)
+        self._last_commands[request.proposer] = _LastCommand(request.sequence_number, succeeded)
+        return succeeded
 
     def state(self) -> Any:
-        """All of it, for a snapshot."""
-        return msgspec.to_builtins((self._cells, self._done))
+        """Return the whole state for a snapshot, as plain lists and dicts."""
+        return msgspec.to_builtins((self._values, self._last_commands))
+
+
+def decode_command(command: Any) -> CompareAndSet:
+    """Return the command of an entry, which is plain lists once it has been on a wire or a disk."""
+    return command if isinstance(command, CompareAndSet) else msgspec.convert(command, CompareAndSet)
--- a/frostfall/model/agreement.py
+++ b/frostfall/model/agreement.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from frostfall.consensus.raft import HardState, Raft, RaftMessage
+from frostfall.consensus.messages import RaftMessage
+from frostfall.consensus.raft import HardState, Raft
 from frostfall.consensus.raft_log import Entry, Snapshot
 from frostfall.consensus.register import CompareAndSet, Register
 
--- a/frostfall/net/consensus.py
+++ b/frostfall/net/consensus.py
@@ -1,25 +1,19 @@
-"""The register in a running agent: Raft's words over the link, its state in the agent's own record."""
+"""Drives Raft in a running agent: messages over the member transport, state in the agent's own log."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
 from typing import Any
 
 import anyio
 import msgspec
 
 from frostfall import log
-from frostfall.consensus.raft import (
-    AppendEntries,
-    AppendEntriesResponse,
-    HardState,
-    InstallSnapshot,
-    Raft,
-    RequestVote,
-    RequestVoteResponse,
-)
-from frostfall.consensus.raft_log import Entry, Snapshot
-from frostfall.consensus.register import CompareAndSet, Register
+from frostfall.consensus.messages import RaftMessage
+from frostfall.consensus.raft import HardState, Raft, Ready
+from frostfall.consensus.raft_log import Entry, IndexedEntry, Snapshot
+from frostfall.consensus.register import CompareAndSet, Register, decode_command
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection
 from frostfall.protocol.member_messages import ConsensusMessage
@@ -28,13 +22,24 @@
 TICK_INTERVAL = 0.05  # seconds: an election begins after half a second to a second without a leader
 
 _log = log.get_logger("agreement")
-_DECODER = msgspec.msgpack.Decoder(
-    RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot
-)
+_DECODER: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
+
+
+@dataclass(slots=True)
+class _Proposal:
+    """A command of this member's that waits to be committed."""
+
+    command: CompareAndSet
+    succeeded: bool = False
+    done: anyio.Event = field(default_factory=anyio.Event)
+
+    def finish(self, succeeded: bool) -> None:
+        self.succeeded = succeeded
+        self.done.set()
 
 
 class ConsensusDriver:
-    """One member of the register."""
+    """One member of the Raft group, with its copy of the register."""
 
     def __init__(
         self,
@@ -45,146 +50,164 @@
         lines: dict[str, MemberConnection],
         seed: int,
     ) -> None:
-        """`note` writes a fact down and gives its ticket; `recall` is handed what was written before."""
-        self._name, self._disk, self._note, self._lines, self._seed = name, disk, write_fact, lines, seed
-        self._hard, self._snapshot = HardState(), Snapshot(voters=voters)
-        self._entries: dict[int, Entry] = {}
-        self.raft: Raft | None = None
+        """Take the voters of a first start; call `restore` for what the log has before `run`.
+
+        `write_fact` appends a record to the log and returns its ticket; `lines` has the other members.
+        """
+        self._name = name
+        self._disk = disk
+        self._write_fact = write_fact
+        self._connections = lines
+        self._seed = seed
+        self._hard_state = HardState()
+        self._snapshot = Snapshot(voters=voters)
+        self._entries: dict[int, Entry] = {}  # by index: on disk, or on the way there
+        self.raft: Raft | None = None  # None until `run` begins
         self.register = Register()
-        self._waiting: dict[int, tuple[CompareAndSet, Callable[[bool], None]]] = {}
+        self._proposals: dict[int, _Proposal] = {}  # by index
         self._changed = anyio.Event()
-        self._leader = ""
+        self._logged_leader = ""
 
-    # ---- the past ------------------------------------------------------------------------------------
+    # ---- state in the log ----------------------------------------------------------------------------
 
     def restore(self, fact: RaftVote | RaftEntry | RaftSnapshot) -> None:
-        """What was written down, in order."""
+        """Take in a record of the log, in the order in which they were written."""
         match fact:
-            case RaftVote(term, vote):
-                self._hard = HardState(term, vote)
-            case RaftEntry(index, raw):
-                self._entries = {at: entry for at, entry in self._entries.items() if at < index}
-                self._entries[index] = msgspec.convert(raw, Entry)
-            case RaftSnapshot(raw):
-                self._snapshot = msgspec.convert(raw, Snapshot)
+            case RaftVote(term, voted_for):
+                self._hard_state = HardState(term, voted_for)
+            case RaftEntry(index, entry):
+                self._entries = {at: earlier for at, earlier in self._entries.items() if at < index}
+                self._entries[index] = msgspec.convert(entry, Entry)
+            case RaftSnapshot(snapshot):
+                self._snapshot = msgspec.convert(snapshot, Snapshot)
                 self._entries = {
                     at: entry for at, entry in self._entries.items() if at > self._snapshot.index
                 }
 
     def stored_state(self) -> Iterable[MetadataRecord]:
-        """What a new segment of the record begins with."""
+        """Yield the records that a new segment of the log begins with."""
         yield RaftSnapshot(msgspec.to_builtins(self._snapshot))
-        yield RaftVote(self._hard.term, self._hard.voted_for)
+        yield RaftVote(self._hard_state.term, self._hard_state.voted_for)
         for index in sorted(self._entries):
             yield RaftEntry(index, msgspec.to_builtins(self._entries[index]))
 
-    # ---- life ----------------------------------------------------------------------------------------
+    def _write(self, fact: RaftVote | RaftEntry | RaftSnapshot) -> int:
+        self.restore(fact)
+        return self._write_fact(fact)
+
+    def _write_snapshot(self, snapshot: Snapshot) -> int:
+        return self._write(RaftSnapshot(msgspec.to_builtins(snapshot)))
+
+    # ---- running -------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Take part, for good. Not for one whose record is in doubt: it may have voted otherwise before."""
+        """Take part for good.
+
+        Not for a member whose log is incomplete: it may have voted otherwise before.
+        """
         entries: list[Entry] = []
         while (entry := self._entries.get(self._snapshot.index + len(entries) + 1)) is not None:
             entries.append(entry)
-        self.raft = Raft(self._name, self._snapshot, self._hard, entries, self._seed)
+        self.raft = raft = Raft(self._name, self._snapshot, self._hard_state, entries, self._seed)
         self.register = Register(self._snapshot.state)
-        async with anyio.create_task_group() as group:
-            group.start_soon(self._tick)
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(self._tick, raft)
             while True:
                 self._changed = anyio.Event()
-                if not await self._work(self.raft):
+                if not await self._advance(raft):
                     _log.error("the disk has failed: no part in agreement any more")
-                    group.cancel_scope.cancel()
+                    task_group.cancel_scope.cancel()
                     return
                 await self._changed.wait()
 
-    async def _tick(self) -> None:
-        while self.raft:
+    async def _tick(self, raft: Raft) -> None:
+        while True:
             await anyio.sleep(TICK_INTERVAL)
-            self.raft.tick()
+            raft.tick()
             self._changed.set()
 
     def handle_message(self, message: ConsensusMessage) -> None:
-        """What another member says."""
+        """Handle a Raft message of another member."""
         if self.raft is None:
             return
         try:
-            word = _DECODER.decode(message.payload)
+            raft_message = _DECODER.decode(message.payload)
         except msgspec.MsgspecError as error:
-            _log.warning("a word that cannot be read", member=message.sender, why=str(error))
+            _log.warning("raft message unreadable", member=message.sender, reason=str(error))
             return
-        self.raft.step(message.sender, word)
+        self.raft.step(message.sender, raft_message)
         self._changed.set()
 
-    async def _work(self, raft: Raft) -> bool:
-        """Carry out what is ready, in order; False where the disk has failed."""
-        out, ticket = raft.ready(), 0
-        if out.snapshot is not None:
-            self.restore(agreed := RaftSnapshot(msgspec.to_builtins(out.snapshot)))
-            ticket = self._note(agreed)
-        if out.hard_state is not None:
-            self.restore(voted := RaftVote(out.hard_state.term, out.hard_state.voted_for))
-            ticket = self._note(voted)
-        for index, entry in out.entries:
-            self.restore(ruled := RaftEntry(index, msgspec.to_builtins(entry)))
-            ticket = self._note(ruled)
+    async def _advance(self, raft: Raft) -> bool:
+        """Carry out what is ready, in the order that Raft needs; False where the disk has failed."""
+        ready = raft.ready()
+        ticket = self._persist(ready)
         if ticket and not await self._disk.wait_durable(ticket):
             return False
-        for name, word in out.messages:
-            if line := self._lines.get(name):
-                line.send(ConsensusMessage(self._name, msgspec.msgpack.encode(word)))
-        if out.restored_snapshot is not None:
-            self.register = Register(out.restored_snapshot.state)
-        for index, entry in out.committed_entries:
-            self._apply(index, entry)
+        for receiver, message in ready.messages:
+            if connection := self._connections.get(receiver):
+                connection.send(ConsensusMessage(self._name, msgspec.msgpack.encode(message)))
+        if ready.restored_snapshot is not None:
+            self.register = Register(ready.restored_snapshot.state)
+        for committed in ready.committed_entries:
+            self._apply(committed)
         raft.advance()
         if not raft.is_leader:
-            self._give_up()
+            self._fail_proposals()
         if (snapshot := raft.compact(self.register.state())) is not None:
-            self.restore(agreed := RaftSnapshot(msgspec.to_builtins(snapshot)))
-            self._note(agreed)
-        if raft.leader != self._leader:
-            self._leader = raft.leader
+            self._write_snapshot(snapshot)
+        if raft.leader != self._logged_leader:
+            self._logged_leader = raft.leader
             _log.info("leader", leader=raft.leader, term=raft.hard_state.term)
         return True
 
-    def _apply(self, index: int, entry: Entry) -> None:
-        good = self.register.apply(entry.command) if entry.command is not None else False
-        if waiting := self._waiting.pop(index, None):
-            put, told = waiting
-            mine = (
-                entry.command is not None
-                and msgspec.convert(msgspec.to_builtins(entry.command), CompareAndSet) == put
-            )
-            told(good and mine)
-
-    def _give_up(self) -> None:
-        """Who leads no more cannot tell what becomes of what it proposed."""
-        waiting, self._waiting = self._waiting, {}
-        for _, told in waiting.values():
-            told(False)
+    def _persist(self, ready: Ready) -> int:
+        """Write what has to be on disk before any message is sent; the last ticket, 0 for nothing."""
+        ticket = 0
+        if ready.snapshot is not None:
+            ticket = self._write_snapshot(ready.snapshot)
+        if ready.hard_state is not None:
+            ticket = self._write(RaftVote(ready.hard_state.term, ready.hard_state.voted_for))
+        for index, entry in ready.entries:
+            ticket = self._write(RaftEntry(index, msgspec.to_builtins(entry)))
+        return ticket
+
+    # ---- the register --------------------------------------------------------------------------------
+
+    def _apply(self, committed: IndexedEntry) -> None:
+        command = committed.entry.command
+        succeeded = self.register.apply(command) if command is not None else False
+        if proposal := self._proposals.pop(committed.log_index, None):
+            # Another leader's entry may have taken the proposal's index.
+            is_own = command is not None and _plain(command) == proposal.command
+            proposal.finish(succeeded and is_own)
+
+    def _fail_proposals(self) -> None:
+        """End the proposals of a leader that was deposed: what becomes of them is not known here."""
+        proposals, self._proposals = self._proposals, {}
+        for proposal in proposals.values():
+            proposal.finish(False)
 
     async def compare_and_set(
         self, key: str, value: Any, expected_version: int, sequence_number: int
     ) -> bool | None:
-        """Change a key from a version; False where that was not it, or another leads by now.
+        """Set a key if it has a version; False where it has another one, or this member was deposed.
 
-        None where this member does not lead: `raft.leader` says who may. False does not prove that nothing
-        was changed, as who loses the lead cannot know; the key's version tells.
+        None where this member does not lead: `raft.leader` says who does. False does not prove that nothing
+        was changed, as a deposed leader cannot know; the key's version tells.
         """
         if self.raft is None or not self.raft.is_leader:
             return None
-        put = CompareAndSet(key, value, expected_version, self._name, sequence_number)
-        index = self.raft.propose(put)
+        command = CompareAndSet(key, value, expected_version, self._name, sequence_number)
+        index = self.raft.propose(command)
         if index is None:
             return None
-        told: list[bool] = []
-        event = anyio.Event()
+        self._proposals[index] = proposal = _Proposal(command)
+        self._changed.set()
+        await proposal.done.wait()
+        return proposal.succeeded
 
-        def answer(good: bool) -> None:
-            told.append(good)
-            event.set()
 
-        self._waiting[index] = put, answer
-        self._changed.set()
-        await event.wait()
-        return told[0]
+def _plain(command: Any) -> CompareAndSet:
+    """A command as it reads once it has been on a wire."""
+    return decode_command(msgspec.to_builtins(command))
