--- /dev/null
+++ b/tests/test_admission.py
@@ -0,0 +1,103 @@
+"""Which requests are sent, wait or are shed when servers are busy."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from frostfall import interface as api
+from frostfall.policy.admission import MIN_WAITING
+from frostfall.records import PendingRequest
+from tests.support import SAFE, SETTINGS, UNSAFE, Agent, S, answers, sends, server
+
+
+def test_requests_in_flight_are_bounded_and_the_lowest_priority_waits_first() -> None:
+    agent = Agent(SETTINGS, server(1), server(2))
+    admission, throughput = agent.engine.admission, agent.engine.statistics.throughput
+    throughput.rate, throughput.updated_at, admission.in_flight = 10.0, agent.now, 7
+    request = [agent.engine.requests[f"q{i}"] for i in (1, 2) if agent.ask(SAFE if i == 1 else UNSAFE)]
+    admission.in_flight = 7
+    assert [admission.has_capacity(agent.now, each) for each in request] == [False, True]
+    admission.in_flight = 8
+    assert not admission.has_capacity(agent.now, request[1])
+
+
+def test_late_answers_shed_the_lowest_priority_first_and_timely_ones_stop_it() -> None:
+    agent = Agent(SETTINGS, server(1), server(2))
+    for _ in range(30):
+        for send in sends(agent.ask()):
+            agent.end(send, elapsed=3 * S // 2)
+    shed = agent.engine.admission.shed_share
+    assert shed > 0.3
+
+    def refused(kind: api.RequestClass) -> int:
+        agent.engine.admission.shed_share, count = shed, 0
+        for _ in range(200):
+            actions = agent.ask(kind)
+            for send in sends(actions):
+                agent.end(send)
+                agent.engine.admission.shed_share = shed
+            count += any(isinstance(action, api.RejectRequest) for action in actions)
+        return count
+
+    assert refused(SAFE) > 1.5 * refused(UNSAFE) > 0
+    for _ in range(300):
+        for send in sends(agent.ask()):
+            agent.end(send)
+    assert agent.engine.admission.shed_share == 0
+
+
+def pending(agent: Agent, kind: api.RequestClass) -> PendingRequest:
+    """A request that the engine has not been told of."""
+    return PendingRequest(api.RequestArrived("q", kind.name, agent.now + S), kind, agent.now)
+
+
+def test_more_may_be_in_flight_while_servers_report_empty_queues() -> None:
+    agent = Agent(SETTINGS, *(server(n) for n in range(4)))
+    now, admission, statistics = agent.now, agent.engine.admission, agent.engine.statistics
+    statistics.throughput.rate, statistics.throughput.updated_at = 40.0, now
+    admission.in_flight = 30  # more than 0.6 latency objectives of it
+    request, first = pending(agent, UNSAFE), agent.engine.server_list.available[0]
+    assert not admission.has_capacity(now, request)
+    for _ in range(100):
+        statistics.record_load(now, first, api.LoadReport(in_flight=3.0, queued=0.0))
+    assert admission.has_capacity(now, request)
+    for _ in range(100):
+        statistics.record_load(now, first, api.LoadReport(in_flight=9.0, queued=4.0))
+    assert not admission.has_capacity(now, request)
+
+
+def test_no_more_requests_wait_than_can_be_served_by_then() -> None:
+    agent = Agent(SETTINGS, *(server(n) for n in range(4)))
+    agent.engine.admission.in_flight = 1000  # no capacity
+    ends = [answers(agent.ask()) for _ in range(50)]
+    assert [bool(end) for end in ends] == [False] * MIN_WAITING + [True] * (50 - MIN_WAITING)
+    assert all(isinstance(end[0], api.RejectRequest) for end in ends if end)
+    assert len(agent.engine.admission.waiting) == MIN_WAITING
+
+
+def test_a_class_with_short_answers_and_a_short_objective_has_no_less_capacity() -> None:
+    short = replace(UNSAFE, latency_objective=S // 4, priority_weight=3.0)
+    agent = Agent(replace(SETTINGS, classes=(SAFE, short)), *(server(n) for n in range(4)))
+    admission, statistics = agent.engine.admission, agent.engine.statistics
+    statistics.throughput.rate, statistics.throughput.updated_at = 100.0, agent.now
+    statistics.times.overall_mean = 100_000.0
+    statistics.times.means |= {SAFE.name: 125_000.0, short.name: 25_000.0}
+
+    def most(kind: api.RequestClass) -> int:
+        request = pending(agent, kind)
+        admission.in_flight = 0
+        while admission.has_capacity(agent.now, request):
+            admission.in_flight += 1
+        return admission.in_flight
+
+    assert most(short) > most(SAFE) > 10
+
+
+def test_there_is_capacity_while_servers_hold_few_requests_each() -> None:
+    agent = Agent(SETTINGS, *(server(n) for n in range(10)))
+    admission, request = agent.engine.admission, pending(agent, UNSAFE)
+    admission.in_flight = 10  # nothing served of late, one request and a bit on each server
+    agent.engine.statistics.others_in_flight = 0.2
+    assert admission.has_capacity(agent.now, request)
+    agent.engine.statistics.others_in_flight = 1.0
+    assert not admission.has_capacity(agent.now, request)
