--- /dev/null
+++ b/frostfall/model/member_config.py
@@ -0,0 +1,69 @@
+"""The configuration of a simulated member: its group's options and the settings that all members share."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from frostfall import config
+from frostfall.model.schedule import Schedule, member_names
+
+FIRST_PORT = 10_000  # of the members' addresses, which nothing binds
+SEGMENT_BYTES = 65_536
+FOLDER_BYTES = 1 << 20
+KEEP_SECONDS = 60.0  # that a finished operation is remembered
+
+_SETTINGS = {
+    "ordinal": 0,
+    "nInstances": 1,
+    "zone": "a",
+    "discovery": "automatic",
+    "grades": [
+        {"name": "order", "aimUs": 500_000, "deadlineUs": 2_000_000, "effect": "unsafe", "credit": 1.0}
+    ],
+    "bounds": {
+        "maxAttempts": 4,
+        "mayCancel": True,
+        "parallelTries": False,
+        "peers": False,
+        "connectTimeoutUs": 250_000,
+        "connIdleUs": 15_000_000,
+    },
+    "rules": {
+        "graceToAnswerUs": 20_000,
+        "stopSendingWithinUs": 500_000,
+        "askEveryUs": 2_000_000,
+        "warmUpUs": 1_000_000,
+        "fallMultiple": 4.0,
+        "fallUs": 2_000_000,
+        "coldFrom": 0.4,
+    },
+}
+
+
+def member_config(schedule: Schedule, name: str, *, new_group: bool) -> config.Config:
+    """The configuration of one member; operators set `new_group` only for the first start of all."""
+    group: dict[str, Any] = {
+        "data": "/nowhere",
+        "key": "the model's own shared key",
+        "operation": "op",
+        "new": new_group,
+        "retries_marked": schedule.retries_marked,
+        "members": [
+            {"name": member, "address": f"127.0.0.1:{FIRST_PORT + index}"}
+            for index, member in enumerate(member_names(schedule.member_count))
+        ],
+        "store": {"segment_bytes": SEGMENT_BYTES, "folder_bytes": FOLDER_BYTES, "keep": KEEP_SECONDS},
+    }
+    if schedule.replicas:
+        group["copies"] = msgspec.structs.asdict(schedule.replicas)
+    raw = {
+        "name": name,
+        "listen": "127.0.0.1:9999",
+        "discovery": "127.0.0.1:9998",
+        "settings": _SETTINGS,
+        "seed": 7,
+    }
+    options = config.operator(msgspec.json.encode({"group": group}), "model")
+    return config.parse(msgspec.json.encode(raw), {}, options)
--- /dev/null
+++ b/frostfall/model/requests.py
@@ -0,0 +1,121 @@
+"""An agent's requests, as far as a group's record is concerned: attempts, retries and deadlines."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+
+import anyio
+from anyio.abc import TaskGroup
+
+from frostfall.model.environment import Environment
+from frostfall.model.upstream import SimulatedServer
+from frostfall.net.recovery import GroupMember
+from frostfall.protocol.ending import Ending, Final, Progress
+from frostfall.protocol.pg import READY
+from frostfall.protocol.pg_client import Row
+from frostfall.protocol.pg_server import failed, refused
+from frostfall.protocol.statement import Statement
+
+RETRY_DELAY = 0.02  # seconds
+DEADLINE_MARGIN = 0.01  # seconds before the deadline at which the client gets an answer in any case
+RETRY_AFTER_MS = 100
+
+
+class ClientConnection:
+    """A client that waits for the answer to one request."""
+
+    def __init__(self, request: str) -> None:
+        """Wait for the answer to this request."""
+        self.request: str | None = request
+        self.answers: list[bytes] = []
+        self.answered = anyio.Event()
+
+    def answer(self, data: bytes) -> None:
+        """Take the answer."""
+        self.request = None
+        self.answers.append(data)
+        self.answered.set()
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that the agent has taken."""
+
+    client: ClientConnection
+    deadline: int  # microseconds of the virtual clock
+    finished: bool = False
+    attempts_in_flight: int = 0
+
+
+@dataclass
+class RequestDispatcher:
+    """The requests of one incarnation of a member."""
+
+    environment: Environment
+    server: SimulatedServer
+    program: GroupMember
+    tasks: TaskGroup
+    is_powered: Callable[[], bool]
+    wait_until_running: Callable[[], Awaitable[None]]
+    _pending: dict[str, PendingRequest] = field(default_factory=dict)
+
+    def dispatch(self, statement: Statement, client: ClientConnection) -> None:
+        """Answer from the record, or begin to attempt it."""
+        deadline = self.environment.micros() + statement.wait_ms * 1000
+        if self.program.operations.handle_query(statement, client, deadline):
+            return
+        request = self._pending[statement.request] = PendingRequest(client, deadline)
+        self.tasks.start_soon(self._attempt_until_finished, statement, request)
+
+    def conclude(self, name: str, answer: bytes, end: Final) -> None:
+        """Finish a request with what the record found out."""
+        request = self._pending.get(name)
+        if request and not request.finished:
+            self._finish(name, request, answer, end)
+
+    async def _attempt_until_finished(self, statement: Statement, request: PendingRequest) -> None:
+        name, operations = statement.request, self.program.operations
+        self.tasks.start_soon(self._finish_at_deadline, name, request)
+        while not request.finished:
+            request.attempts_in_flight += 1
+            ending = await self._attempt(statement, request)
+            request.attempts_in_flight -= 1
+            if isinstance(ending.answer, Row):
+                self._finish(name, request, ending.answer.data + READY, Final.SERVED)
+            operations.attempt_ended(name, ending)
+            if request.finished:
+                break
+            if ending.outcome.never_ran:
+                await anyio.sleep(RETRY_DELAY)
+            else:
+                self._finish(name, request, failed(), Final.FAILED)
+        if request.finished and not request.attempts_in_flight:
+            operations.request_closed(name)
+
+    async def _attempt(self, statement: Statement, request: PendingRequest) -> Ending:
+        authorized = await self.program.operations.authorize_dispatch(
+            statement.request, lambda: request.finished, request.deadline
+        )
+        if not authorized:
+            return Ending(Progress.NOT_WRITTEN, withheld=True)
+        await self.wait_until_running()
+        return await self.server.execute(statement)
+
+    async def _finish_at_deadline(self, name: str, request: PendingRequest) -> None:
+        remaining = (request.deadline - self.environment.micros()) / 1e6
+        await anyio.sleep(max(remaining - DEADLINE_MARGIN, 0))
+        if request.finished:
+            return
+        if request.attempts_in_flight:
+            self._finish(name, request, failed(), Final.FAILED)
+        else:
+            self._finish(name, request, refused(RETRY_AFTER_MS), Final.REFUSED)
+
+    def _finish(self, name: str, request: PendingRequest, answer: bytes, end: Final) -> None:
+        if request.finished or not self.is_powered():
+            return
+        request.finished = True
+        self.program.operations.finish_request(
+            name, answer, end, request.client, not request.attempts_in_flight
+        )
--- /dev/null
+++ b/frostfall/model/upstream.py
@@ -0,0 +1,46 @@
+"""The simulated server behind all members: it runs an operation each time that one arrives."""
+
+from __future__ import annotations
+
+import anyio
+
+from frostfall.model.environment import Environment
+from frostfall.model.schedule import Operation
+from frostfall.protocol.ending import Ending, Progress
+from frostfall.protocol.pg_client import Refusal, Row
+from frostfall.protocol.statement import Statement
+
+MIN_DELAY = 0.0002  # seconds to the server
+MAX_DELAY = 0.004  # seconds to the server
+BASE_SERVICE_TIME = 0.002  # seconds
+REJECTED_SHARE = 0.08  # of the attempts, without running them
+TOO_MANY_CONNECTIONS = "53300"  # SQLSTATE, PostgreSQL manual, appendix A
+
+
+class SimulatedServer:
+    """Runs and records operations, whatever becomes of the member that sent them."""
+
+    def __init__(self, environment: Environment, operations: tuple[Operation, ...]) -> None:
+        """Take service times from the schedule's operations."""
+        self._environment = environment
+        self._service_times = {operation.name: operation.service_time for operation in operations}
+
+    async def execute(self, statement: Statement) -> Ending:
+        """Carry out one attempt; the request counts as written from the call on."""
+        operation = statement.field("op")
+        environment = self._environment
+        delay = environment.random.uniform(MIN_DELAY, MAX_DELAY)
+        if environment.random.random() < REJECTED_SHARE:
+            await anyio.sleep(delay)
+            return Ending(Progress.WRITTEN, Refusal(TOO_MANY_CONNECTIONS))
+        done = anyio.Event()
+
+        async def execute_once() -> None:
+            await anyio.sleep(delay)
+            environment.record("ran", op=operation, id=statement.request)
+            await anyio.sleep(BASE_SERVICE_TIME + self._service_times.get(operation, 0.0))
+            done.set()
+
+        environment.tasks.start_soon(execute_once)
+        await done.wait()
+        return Ending(Progress.ANSWERING, Row(b"D" + operation.encode() + b"@" + statement.request.encode()))
