--- /dev/null
+++ b/frostfall/net/requests.py
@@ -0,0 +1,266 @@
+"""Requests in flight: from a client's query to its answer and to the end of all its attempts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from anyio.abc import TaskGroup
+
+from frostfall import interface as api
+from frostfall import log
+from frostfall.config import Address
+from frostfall.net.client_connections import ClientConnection
+from frostfall.net.clock import Clock
+from frostfall.net.endpoints import EndpointList
+from frostfall.net.upstream_pool import UpstreamAttempt, UpstreamPool
+from frostfall.protocol import entries, statement
+from frostfall.protocol.ending import Ending, Final, Progress
+from frostfall.protocol.pg import READY
+from frostfall.protocol.pg_client import Row
+from frostfall.protocol.pg_server import failed
+
+if TYPE_CHECKING:
+    from frostfall.net.operations import OperationCoordinator
+
+MayWrite = Callable[[int, str, int], bool]  # now in microseconds, request id, attempt number
+
+_log = log.get_logger("agent")
+
+
+@dataclass(slots=True)
+class _Request:
+    """A request that was accepted, until it is answered and all its attempts have ended."""
+
+    statement: statement.Statement
+    client: ClientConnection
+    deadline: int  # microseconds of Unix time
+    attempts: list[UpstreamAttempt] = field(default_factory=list)
+    in_flight: int = 0  # attempts that have not ended
+    done: bool = False  # answered, or its client has disconnected
+
+
+@dataclass(slots=True)
+class _Dispatch:
+    """One attempt on its way to a server."""
+
+    request: _Request
+    action: api.SendAttempt
+    number: int  # of the attempt within its request
+    attempt: UpstreamAttempt
+    target: Address
+    started_at: int  # microseconds of Unix time
+    deadline: int  # microseconds of Unix time
+
+    def is_over(self) -> bool:
+        """Whether nobody waits for this attempt any more."""
+        return self.request.done or self.attempt.cancelled
+
+
+class RequestTable:
+    """Owns the requests in flight. Implements `client_connections.QueryHandler`."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        class_names: set[str],
+        *,
+        post: Callable[[api.Event], None],
+        may_write: MayWrite,
+        endpoints: EndpointList,
+        pool: UpstreamPool,
+    ) -> None:
+        """`post` hands events to the engine; `may_write` is its last word before an attempt goes out."""
+        self._clock = clock
+        self._class_names = class_names
+        self._post = post
+        self._may_write = may_write
+        self._endpoints = endpoints
+        self._pool = pool
+        self._requests: dict[str, _Request] = {}  # by request id
+        self._task_group: TaskGroup | None = None
+        self._operations: OperationCoordinator | None = None
+
+    def __len__(self) -> int:
+        """How many requests are in flight."""
+        return len(self._requests)
+
+    @property
+    def attempts_in_flight(self) -> int:
+        """How many attempts of all requests have not ended."""
+        return sum(request.in_flight for request in self._requests.values())
+
+    def start(self, task_group: TaskGroup, operations: OperationCoordinator | None) -> None:
+        """Run attempts in this task group; with `operations`, non-idempotent ones are recorded first."""
+        self._task_group = task_group
+        self._operations = operations
+
+    # ---- clients -----------------------------------------------------------------------------------
+
+    def handle_query(self, client: ClientConnection, text: bytes) -> str | None:
+        """Accept a client's query, or say why it is malformed."""
+        now = self._clock.now()
+        parsed = statement.parse(text)
+        if isinstance(parsed, str):
+            return parsed
+        if parsed.class_name not in self._class_names:
+            return "an unknown class"
+        operations = self._operations
+        if parsed.request in self._requests and not (operations and operations.is_known(parsed)):
+            return "an id that is in use"
+        deadline = now + parsed.wait_ms * 1000
+        client.request, client.progress.class_name = parsed.request, parsed.class_name
+        if operations and operations.handle_query(parsed, client, deadline):
+            return None
+        self._requests[parsed.request] = _Request(parsed, client, deadline)
+        self._post(
+            api.RequestArrived(
+                parsed.request, parsed.class_name, deadline, parsed.key, parsed.hint, None, parsed.is_retry
+            )
+        )
+        return None
+
+    def client_disconnected(self, client: ClientConnection) -> None:
+        """Drop the request whose answer this client waited for, if any."""
+        name, client.request = client.request, None
+        if name is not None and (request := self._requests.get(name)):
+            request.done = True
+            self._post(api.ClientDisconnected(name))
+            self._forget(name)
+
+    # ---- answers -----------------------------------------------------------------------------------
+
+    def conclude(self, name: str, answer: bytes, end: Final) -> None:
+        """Give a request its final answer, whatever the engine has in flight for it."""
+        if (known := self._requests.get(name)) and not known.done:
+            self.finish(name, answer, end)
+            self._post(api.ClientDisconnected(name))
+
+    def fail_after_fault(self, event: api.Event) -> None:
+        """Fail the request that an event belongs to, if any, as the engine raised on that event."""
+        name = getattr(event, "request", None)
+        if isinstance(name, str) and name in self._requests:
+            self.finish(name, failed(), Final.FAILED)
+
+    def finish(self, name: str, answer: bytes, end: Final) -> None:
+        """Answer a request; no effect on one that is answered already or unknown."""
+        request = self._requests.get(name)
+        if request is None or request.done:
+            return
+        request.done = True
+        if over := not request.in_flight:
+            del self._requests[name]
+        if self._operations:
+            self._operations.finish_request(name, answer, end, request.client, over)
+        else:
+            request.client.answer(answer)
+
+    def _forget(self, name: str) -> None:
+        if (request := self._requests.get(name)) and request.done and not request.in_flight:
+            del self._requests[name]
+            if self._operations:
+                self._operations.request_closed(name)
+
+    # ---- attempts ----------------------------------------------------------------------------------
+
+    def cancel_attempt(self, name: str, number: int) -> None:
+        """Cancel an attempt of a request; its end is still reported."""
+        if (known := self._requests.get(name)) and number < len(known.attempts):
+            known.attempts[number].cancel()
+
+    def send_attempt(self, action: api.SendAttempt) -> None:
+        """Start an attempt; its end is posted exactly once."""
+        request = self._requests.get(action.request)
+        started_at = self._clock.now()
+        if request is None or request.done or self._task_group is None:
+            _log.error("attempt for a request that has ended", request=action.request)
+            return
+        number = len(request.attempts)
+
+        def on_degraded() -> None:  # posted before the attempt's end, so that no further one goes there
+            self._post(api.ServerDegraded(action.server))
+
+        attempt = UpstreamAttempt(request.statement.class_name, on_degraded)
+        request.attempts.append(attempt)
+        target = self._endpoints.address_of(action.server)
+        if target is None:
+            unreachable = api.Outcome.UNREACHABLE
+            self._post(api.AttemptEnded(action.request, number, action.server, unreachable, 0, False))
+            return
+        request.in_flight += 1
+        deadline = min(started_at + action.timeout, request.deadline) if action.timeout else request.deadline
+        dispatch = _Dispatch(request, action, number, attempt, target, started_at, deadline)
+        self._task_group.start_soon(self._run_recorded if self._operations else self._run, dispatch)
+
+    async def _run(self, dispatch: _Dispatch) -> None:
+        await self._pool.run_attempt(
+            dispatch.attempt,
+            dispatch.target,
+            lambda: self._statement_to_write(dispatch),
+            dispatch.deadline,
+            lambda ending: self._attempt_ended(dispatch, ending),
+        )
+
+    async def _run_recorded(self, dispatch: _Dispatch) -> None:
+        """Run an attempt once it may be written: a non-idempotent one waits for its record."""
+        authorized = False
+        try:
+            if self._operations:
+                authorized = await self._operations.authorize_dispatch(
+                    dispatch.action.request, dispatch.is_over, dispatch.deadline
+                )
+        except Exception:  # the attempt must still end, so that its request is answered
+            _log.exception("record failed")
+        if authorized:
+            await self._run(dispatch)
+        else:
+            self._attempt_ended(
+                dispatch, Ending(Progress.NOT_WRITTEN, withheld=True, why="not to be written")
+            )
+
+    def _statement_to_write(self, dispatch: _Dispatch) -> bytes | None:
+        """The query text just before its first byte is written; None where it must not go out."""
+        request, action = dispatch.request, dispatch.action
+        now = self._clock.now()
+        # The server may have moved since: whoever listens at its old address now is not this server.
+        if (
+            request.done
+            or self._endpoints.address_of(action.server) != dispatch.target
+            or not self._may_write(now, action.request, dispatch.number)
+        ):
+            return None
+        return request.statement.waiting((dispatch.deadline - now) // 1000)
+
+    def _attempt_ended(self, dispatch: _Dispatch, ending: Ending) -> None:
+        request, action = dispatch.request, dispatch.action
+        request.in_flight -= 1
+        name, outcome = action.request, ending.outcome
+        if outcome is not api.Outcome.SUCCESS:
+            _log.debug(
+                "attempt ended",
+                request=name,
+                server=action.server,
+                outcome=outcome.name,
+                progress=ending.progress.name,
+                why=ending.why,
+            )
+        if isinstance(ending.answer, Row):
+            self.finish(name, ending.answer.data + READY, Final.SERVED)
+        if self._operations:
+            self._operations.attempt_ended(name, ending)
+        elapsed = self._clock.now() - dispatch.started_at
+        self._post(
+            api.AttemptEnded(
+                name, dispatch.number, action.server, outcome, elapsed, request.done, _load_report(ending)
+            )
+        )
+        self._forget(name)
+
+
+def _load_report(ending: Ending) -> api.LoadReport | None:
+    try:
+        return entries.load(ending.load)
+    except Exception:  # whatever a server reports, the attempt's end must be posted
+        _log.exception("unreadable load report")
+        return None
--- a/frostfall/routing/outlier_ejection.py
+++ b/frostfall/routing/outlier_ejection.py
@@ -56,6 +56,10 @@
         self.options = options or EjectionOptions()
         self._records: dict[int, _Record] = {}
 
+    def reconfigure(self, options: EjectionOptions) -> None:
+        """Follow other options from now on; servers that are ejected stay so."""
+        self.options = options
+
     def __len__(self) -> int:
         """The number of servers with a record, those included that are being restored."""
         return len(self._records)
