--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -15,7 +15,8 @@
 from frostfall.deployment import Settings
 from frostfall.engine.policy_engine import PolicyEngine
 from frostfall.limits.slow_peer_detector import SlowPeerDetector
-from frostfall.net.client_connections import ClientConnection, ClientConnections, open_listener
+from frostfall.net.client_connection import ClientConnection
+from frostfall.net.client_connections import ClientConnections
 from frostfall.net.clock import Clock, TimerQueue
 from frostfall.net.connection_monitor import ConnectionMonitor
 from frostfall.net.discovery import DiscoveryClient
@@ -26,7 +27,7 @@
 from frostfall.net.reload import plan_reload
 from frostfall.net.requests import RequestTable
 from frostfall.net.rollout_client import RolloutClient
-from frostfall.net.streams import SocketBudget
+from frostfall.net.streams import SocketBudget, open_listener
 from frostfall.net.upstream_pool import UpstreamPool
 from frostfall.protocol.ending import Final
 from frostfall.protocol.listing import Listing
--- a/frostfall/net/member_transport.py
+++ b/frostfall/net/member_transport.py
@@ -15,8 +15,7 @@
 
 from frostfall import log
 from frostfall.config import Address
-from frostfall.net.client_connections import open_listener
-from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
+from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_listener, open_stream
 from frostfall.protocol.member_messages import (
     NONCE_BYTES,
     AuthenticatedChannel,
--- a/frostfall/net/requests.py
+++ b/frostfall/net/requests.py
@@ -11,7 +11,7 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall.config import Address
-from frostfall.net.client_connections import ClientConnection
+from frostfall.net.client_connection import ClientConnection
 from frostfall.net.clock import Clock
 from frostfall.net.endpoints import EndpointList
 from frostfall.net.upstream_pool import UpstreamAttempt, UpstreamPool
@@ -59,7 +59,7 @@
 
 
 class RequestTable:
-    """Owns the requests in flight. Implements `client_connections.QueryHandler`."""
+    """Owns the requests in flight. Implements `client_interfaces.QueryHandler`."""
 
     def __init__(
         self,
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -16,6 +16,7 @@
 from frostfall.config import Address
 from frostfall.protocol.pg import READ_MOST
 
+LISTEN_BACKLOG = 512  # connections: a burst that comes while the one core is busy elsewhere
 CONNECT_TIMEOUT_SECONDS = 1.0  # seconds: a service that is cut off never accepts; appliances have settings
 MAX_DISCARD_READS = 8  # reads: who sends more than that unasked is not waited for
 _INT = struct.Struct("i")
@@ -160,6 +161,19 @@
     return raw
 
 
+def open_listener(address: Address) -> socket.socket:
+    """A listening socket on this address only, which never blocks; OSError where that cannot be."""
+    listener = create_socket(address)
+    try:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((address.host, address.port))
+        listener.listen(LISTEN_BACKLOG)
+    except OSError:
+        listener.close()
+        raise
+    return listener
+
+
 async def connect(address: Address) -> Stream:
     """A new connection; OSError where it is refused."""
     raw = create_socket(address)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -22,7 +22,7 @@
 from frostfall import config
 from frostfall import interface as api
 from frostfall.net.agent import Agent
-from frostfall.net.client_connections import MAX_OVERFLOW_CONNECTIONS
+from frostfall.net.client_acceptor import MAX_OVERFLOW_CONNECTIONS
 from frostfall.net.upstream_pool import REUSE_DELAY_MICROS
 from frostfall.protocol import pg
 from tests.standins import (
