--- a/frostfall/net/requests.py
+++ b/frostfall/net/requests.py
@@ -14,7 +14,8 @@
 from frostfall.net.client_connection import ClientConnection
 from frostfall.net.clock import Clock
 from frostfall.net.endpoints import EndpointList
-from frostfall.net.upstream_pool import UpstreamAttempt, UpstreamPool
+from frostfall.net.upstream_connection import UpstreamAttempt
+from frostfall.net.upstream_pool import UpstreamPool
 from frostfall.protocol import entries, statement
 from frostfall.protocol.ending import Ending, Final, Progress
 from frostfall.protocol.pg import READY
--- /dev/null
+++ b/frostfall/net/upstream_connection.py
@@ -0,0 +1,165 @@
+"""One connection to an upstream server, and one attempt of a request that goes over it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import anyio
+
+from frostfall.config import Address
+from frostfall.limits.shed_counter import ShedReason
+from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
+from frostfall.net.connection_monitor import TICK_SECONDS, ConnectionMonitor, MonitoredConnection
+from frostfall.net.streams import STREAM_ERRORS, Stream
+from frostfall.protocol.ending import Ending, Progress
+from frostfall.protocol.pg_client import ClientSide, State
+
+USER = "web"  # servers accept any user
+DATABASE = "orders"
+
+
+class UpstreamConnection(MonitoredConnection):
+    """Drives the client's side of the protocol over one stream."""
+
+    def __init__(
+        self,
+        address: Address,
+        stream: Stream,
+        slow_peers: SlowPeerDetector[Any],
+        monitor: ConnectionMonitor,
+    ) -> None:
+        """Speak to the server at `address` over `stream`."""
+        super().__init__()
+        self.address = address
+        self.stream = stream
+        self.machine = ClientSide(USER, DATABASE)
+        self.progress = ConnectionProgress()
+        self.idle_since = 0  # microseconds of Unix time
+        self.attempt: UpstreamAttempt | None = None  # the one in flight
+        self.unwritten_bytes = 0  # of its query, not yet taken by the kernel
+        self._slow_peers = slow_peers
+        self._monitor = monitor
+
+    @property
+    def usable(self) -> bool:
+        """Whether nothing has come on it since its last answer, not even its end."""
+        return self.machine.reusable and self.stream.is_quiet
+
+    @property
+    def is_answered(self) -> bool:
+        """Whether no answer is awaited on it: none was asked for, or it has come."""
+        return self.machine.state in (State.READY, State.ANSWERED)
+
+    def check(self, now: float) -> float | None:
+        """Judge how the server takes the query and sends the answer; None between attempts."""
+        if self.attempt is None:
+            return None
+        reason = self._slow_peers.check_server_reading(
+            self.progress, now, self.unwritten_bytes + self.stream.unacknowledged_bytes
+        )
+        if reason is None and self.attempt.progress is Progress.ANSWERING:
+            reason = self._slow_peers.check_server_sending(self.progress, now)
+            if self._slow_peers.suspects_server(self.progress, now):
+                self.attempt.mark_degraded()
+        if reason is None:
+            return TICK_SECONDS
+        self._slow_peers.shed_counter.record(reason, str(self.address))
+        self.attempt.abort_stalled(reason)
+        return None
+
+    def note_timeout(self, attempt: UpstreamAttempt) -> None:
+        """Count the end of an attempt's time against a server that was sending too slowly until then."""
+        if self._slow_peers.ended_within_response(self.progress, self._monitor.now):
+            attempt.abort_stalled(ShedReason.SERVER_SENDS_SLOWLY)
+            self._slow_peers.shed_counter.record(ShedReason.SERVER_SENDS_SLOWLY, str(self.address))
+
+    async def open(self) -> None:
+        """Exchange the start-up messages; the machine is READY if the server accepts."""
+        await self.stream.send(self.machine.opening)
+        while self.machine.state is State.STARTING:
+            self.machine.feed(await self.stream.receive())
+
+    async def exchange(self, attempt: UpstreamAttempt, get_statement: Callable[[], bytes | None]) -> Ending:
+        """Write a query and read its answer; `get_statement` gives None where it must not go out."""
+        machine, progress = self.machine, self.progress
+        self.attempt = attempt
+        attempt.progress, progress.partial_since = Progress.NOT_WRITTEN, None
+        if (text := get_statement()) is None:
+            return Ending(Progress.NOT_WRITTEN, withheld=True, why="withdrawn before it was written")
+        try:
+            data = machine.ask(text)
+            progress.bytes_written += len(data)
+            self.unwritten_bytes = len(data)
+            if self._slow_peers.watches_servers:
+                self._start_monitoring(attempt)
+            await self._write(attempt, data)
+            while machine.answer is None:
+                received = await self.stream.receive()
+                if attempt.progress is not Progress.ANSWERING:
+                    attempt.progress = Progress.ANSWERING
+                    progress.partial_since = self._monitor.now
+                    progress.partial_start_bytes = progress.bytes_received
+                progress.bytes_received += len(received)
+                machine.feed(received)
+        except STREAM_ERRORS as error:
+            return Ending(attempt.progress, why=repr(error))
+        return Ending(attempt.progress, machine.answer, load=machine.load)
+
+    def _start_monitoring(self, attempt: UpstreamAttempt) -> None:
+        self.progress.class_name = attempt.class_name
+        self.progress.peer_reads.reset()
+        self.progress.peer_sends.reset()
+        if not self.armed:
+            self._monitor.schedule(self, TICK_SECONDS)
+
+    async def _write(self, attempt: UpstreamAttempt, data: bytes) -> None:
+        # What the kernel has taken may still arrive after everything that is done here. Only a query of which
+        # some byte was never handed over has provably not run; a write that fails has handed over nothing.
+        while self.unwritten_bytes:
+            if self.unwritten_bytes < len(data):
+                await self.stream.wait_writable()
+            rest = memoryview(data)[-self.unwritten_bytes :]
+            self.unwritten_bytes -= self.stream.write(rest)
+        attempt.progress = Progress.WRITTEN
+
+
+class UpstreamAttempt:
+    """One attempt in flight, and how far it has come."""
+
+    def __init__(self, class_name: str = "", on_degraded: Callable[[], None] = lambda: None) -> None:
+        """`on_degraded` is called once, if the server turns slow in the middle of this attempt."""
+        self.class_name = class_name
+        self.progress = Progress.NO_CONNECTION
+        self.cancelled = False
+        self.degraded = False
+        self.stall_reason: ShedReason | None = None
+        self.scope = anyio.CancelScope()
+        self._on_degraded = on_degraded
+
+    def cancel(self) -> None:
+        """Stop waiting; the connection closes."""
+        self.cancelled = True
+        self.scope.cancel()
+
+    def mark_degraded(self) -> None:
+        """Report the server as slow so far; the attempt goes on, but others should go elsewhere."""
+        if not self.degraded:
+            self.degraded = True
+            self._on_degraded()
+
+    def abort_stalled(self, reason: ShedReason) -> None:
+        """Stop waiting, as the server is too slow; the connection closes."""
+        self.mark_degraded()
+        self.stall_reason = reason
+        self.scope.cancel()
+
+    def interrupted_ending(self) -> Ending:
+        """The ending of an attempt whose scope has ended it."""
+        return Ending(
+            self.progress,
+            cancelled=self.cancelled,
+            stalled=self.stall_reason is not None,
+            timed_out=not self.cancelled and self.stall_reason is None,
+            why=self.stall_reason.value if self.stall_reason else "",
+        )
--- a/frostfall/net/upstream_pool.py
+++ b/frostfall/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Appliances: pooled connections, and the attempts that go over them."""
+"""The pool of connections to upstream servers: opened on demand, reused, and closed when idle for long."""
 
 from __future__ import annotations
 
@@ -11,100 +11,24 @@
 from frostfall import log
 from frostfall.config import Address
 from frostfall.interface import Limits
-from frostfall.limits.shed_counter import ShedReason
-from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
+from frostfall.limits.slow_peer_detector import SlowPeerDetector
 from frostfall.net.clock import Clock
-from frostfall.net.connection_monitor import TICK_SECONDS, ConnectionMonitor, MonitoredConnection
-from frostfall.net.streams import STREAM_ERRORS, SocketBudget, Stream, connect
+from frostfall.net.connection_monitor import ConnectionMonitor
+from frostfall.net.streams import STREAM_ERRORS, SocketBudget, connect
+from frostfall.net.upstream_connection import UpstreamAttempt, UpstreamConnection
 from frostfall.protocol.ending import Ending, Progress
-from frostfall.protocol.pg_client import ClientSide, Refusal, State
+from frostfall.protocol.pg_client import Refusal, State
 
-USER, DATABASE = "web", "orders"  # appliances welcome any user
-IDLE_TIMEOUT_FRACTION = (
-    0.75  # of the settings' time: the appliance closes at that time at the latest, often earlier
-)
-SOCKET_POLL_SECONDS = 0.005  # seconds between looks for a free socket; answers take some tens of these
-REUSE_DELAY_MICROS = (
-    20_000  # microseconds after an answer in which a second one, some milliseconds late, would come
-)
-SWEEP_INTERVAL_SECONDS = (
-    1.0  # seconds: how often idle connections are looked through; well below any idle time
-)
+IDLE_TIMEOUT_FRACTION = 0.75  # of the settings' timeout, at which the server closes or even before
+SOCKET_POLL_SECONDS = 0.005  # between looks for a free socket; answers take some tens of these
+REUSE_DELAY_MICROS = 20_000  # after an answer: a second one would come some milliseconds late
+SWEEP_INTERVAL_SECONDS = 1.0  # between sweeps of idle connections; well below any idle timeout
 
 _log = log.get_logger("appliances")
 
 
-class UpstreamConnection(MonitoredConnection):
-    """One connection to an appliance."""
-
-    def __init__(self, address: Address, stream: Stream, slow_peers: SlowPeerDetector[Any]) -> None:
-        """Speak over this stream."""
-        super().__init__()
-        self.address = address
-        self.stream = stream
-        self.machine = ClientSide(USER, DATABASE)
-        self.idle_since = 0
-        self.progress = ConnectionProgress()
-        self.attempt: UpstreamAttempt | None = None  # the one under way
-        self.unwritten_bytes = 0  # bytes of its query that the kernel has not taken yet
-        self._guard = slow_peers
-
-    def check(self, now: float) -> float | None:
-        """Judge how the server takes the query and gives the answer; until an attempt begins, not again."""
-        if self.attempt is None:
-            return None
-        reason = self._guard.check_server_reading(
-            self.progress, now, self.unwritten_bytes + self.stream.unacknowledged_bytes
-        )
-        if reason is None and self.attempt.progress is Progress.ANSWERING:
-            reason = self._guard.check_server_sending(self.progress, now)
-            if self._guard.suspects_server(self.progress, now):
-                self.attempt.mark_degraded()
-        if reason is None:
-            return TICK_SECONDS
-        self._guard.shed_counter.record(reason, str(self.address))
-        self.attempt.abort_stalled(reason)
-        return None
-
-    @property
-    def usable(self) -> bool:
-        """Whether nothing has come on it since its last answer, not even its end."""
-        return self.machine.reusable and self.stream.is_quiet
-
-
-class UpstreamAttempt:
-    """One attempt under way; `give_up` ends it at once."""
-
-    def __init__(self, class_name: str = "", on_degraded: Callable[[], None] = lambda: None) -> None:
-        """Not begun, for a request of this class; `slowed` is called once if the server turns slow in it."""
-        self._slowed = on_degraded
-        self.degraded = False
-        self.class_name = class_name
-        self.progress = Progress.NO_CONNECTION
-        self.cancelled = False
-        self.stall_reason: ShedReason | None = None
-        self.scope = anyio.CancelScope()
-
-    def cancel(self) -> None:
-        """Stop waiting; the connection closes."""
-        self.cancelled = True
-        self.scope.cancel()
-
-    def mark_degraded(self) -> None:
-        """The server goes slowly so far; the attempt goes on, but others should go elsewhere."""
-        if not self.degraded:
-            self.degraded = True
-            self._slowed()
-
-    def abort_stalled(self, reason: ShedReason) -> None:
-        """Stop waiting, as the server goes too slowly; the connection closes."""
-        self.mark_degraded()
-        self.stall_reason = reason
-        self.scope.cancel()
-
-
 class UpstreamPool:
-    """The pool: by address, the connections that wait for a request."""
+    """Owns all connections to upstream servers and runs the attempts over them."""
 
     def __init__(
         self,
@@ -114,13 +38,13 @@
         slow_peers: SlowPeerDetector[Any] | None = None,
         monitor: ConnectionMonitor | None = None,
     ) -> None:
-        """Hold as many connections as there are sockets; `watchdog` has to be run by the owner."""
-        self._guard = slow_peers or SlowPeerDetector[Any]()
-        self._watchdog = ConnectionMonitor() if monitor is None else monitor
+        """Open as many connections as there are sockets; `monitor` has to be run by the caller."""
+        self.sockets = sockets
+        self._slow_peers = slow_peers or SlowPeerDetector[Any]()
+        self._monitor = ConnectionMonitor() if monitor is None else monitor
         self._clock = clock
-        self._connect_timeout = limits.connect_timeout / 1e6
-        self._idle_most = int(limits.connection_idle_timeout * IDLE_TIMEOUT_FRACTION)
-        self._sockets = sockets
+        self._connect_timeout = limits.connect_timeout / 1e6  # seconds
+        self._idle_timeout = int(limits.connection_idle_timeout * IDLE_TIMEOUT_FRACTION)  # microseconds
         self._count = 0
         self._idle: defaultdict[Address, list[UpstreamConnection]] = defaultdict(list)
 
@@ -128,6 +52,13 @@
         """How many connections are open or being opened."""
         return self._count
 
+    @property
+    def idle_count(self) -> int:
+        """How many connections wait for a request."""
+        return sum(map(len, self._idle.values()))
+
+    # ---- attempts ----------------------------------------------------------------------------------
+
     async def run_attempt(
         self,
         attempt: UpstreamAttempt,
@@ -136,58 +67,40 @@
         deadline: int,
         on_end: Callable[[Ending], None],
     ) -> None:
-        """Carry one attempt through and tell its end, exactly once; the connection goes back to the pool.
+        """Carry one attempt through and report its end, exactly once; the connection returns to the pool.
 
-        `statement` is asked for just before the first byte; with None the attempt is withdrawn.
+        `get_statement` is called just before the first byte is written; with None the attempt is withdrawn.
+        `deadline` is in microseconds of Unix time.
         """
         try:
-            await self._attempt(attempt, address, get_statement, deadline, on_end)
-        except Exception:
+            await self._run_attempt(attempt, address, get_statement, deadline, on_end)
+        except Exception:  # a task boundary: the other attempts go on
             _log.exception("end of attempt failed")
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         attempt: UpstreamAttempt,
         address: Address,
-        statement: Callable[[], bytes | None],
+        get_statement: Callable[[], bytes | None],
         deadline: int,
-        done: Callable[[Ending], None],
+        on_end: Callable[[Ending], None],
     ) -> None:
         connection: UpstreamConnection | None = None
         ending = Ending(Progress.NO_CONNECTION, why="failed")
         try:
             with attempt.scope:
                 attempt.scope.deadline = anyio.current_time() + (deadline - self._clock.now()) / 1e6
-                connection = self._take(address)
-                if connection is None:
-                    opened = await self._open(address)
-                    if isinstance(opened, Ending):
-                        ending = opened
-                        return
-                    connection = opened
-                    if not connection.usable:
-                        self._drop(connection)
-                        connection = None
-                        ending = Ending(Progress.NOT_WRITTEN, why="closed before it was used")
-                        return
-                ending = await self._exchange(connection, attempt, statement)
+                acquired = await self._acquire(address)
+                if isinstance(acquired, Ending):
+                    ending = acquired
+                else:
+                    connection = acquired
+                    ending = await connection.exchange(attempt, get_statement)
                 return
-            # Only a scope that ended the wait comes here: the time is over, or the attempt was given up.
-            if (
-                connection is not None
-                and not attempt.cancelled
-                and not attempt.stall_reason
-                and (self._guard.ended_within_response(connection.progress, self._watchdog.now))
-            ):
-                attempt.abort_stalled(ShedReason.SERVER_SENDS_SLOWLY)
-                self._guard.shed_counter.record(ShedReason.SERVER_SENDS_SLOWLY, str(address))
-            ending = Ending(
-                attempt.progress,
-                cancelled=attempt.cancelled,
-                stalled=attempt.stall_reason is not None,
-                timed_out=not attempt.cancelled and attempt.stall_reason is None,
-                why=attempt.stall_reason.value if attempt.stall_reason else "",
-            )
+            # Only a scope that ended the wait leads here: by its deadline, or cancelled.
+            if connection is not None and not attempt.cancelled and not attempt.stall_reason:
+                connection.note_timeout(attempt)
+            ending = attempt.interrupted_ending()
         except Exception as error:
             _log.exception("attempt failed")
             ending = Ending(max(attempt.progress, Progress.WRITTEN), why=repr(error))
@@ -195,101 +108,71 @@
                 self._drop(connection)
                 connection = None
         finally:
-            # Danger: the end is told when the connection is closed, or a second copy could be out beside it.
-            if connection is not None and connection.machine.state not in (State.READY, State.ANSWERED):
+            # The connection closes before the end is reported, or a hedged copy could run beside this one.
+            if connection is not None and not connection.is_answered:
                 self._drop(connection)
                 connection = None
             if connection is not None:
                 connection.attempt = None
-            done(ending)
+            on_end(ending)
             if connection is not None:
-                await self._settle(connection)
-
-    async def _exchange(
-        self, connection: UpstreamConnection, attempt: UpstreamAttempt, statement: Callable[[], bytes | None]
-    ) -> Ending:
-        machine, stream, side = connection.machine, connection.stream, connection.progress
-        attempt.progress, connection.attempt, side.partial_since = Progress.NOT_WRITTEN, attempt, None
-        if (text := statement()) is None:
-            return Ending(Progress.NOT_WRITTEN, withheld=True, why="withdrawn before it was written")
-        try:
-            data = machine.ask(text)
-            side.bytes_written += len(data)
-            connection.unwritten_bytes = len(data)
-            if self._guard.watches_servers:
-                side.class_name = attempt.class_name
-                side.peer_reads.reset()
-                side.peer_sends.reset()
-                if not connection.armed:
-                    self._watchdog.schedule(connection, TICK_SECONDS)
-            await self._write(connection, attempt, data)
-            while machine.answer is None:
-                received = await stream.receive()
-                if attempt.progress is not Progress.ANSWERING:
-                    attempt.progress = Progress.ANSWERING
-                    side.partial_since, side.partial_start_bytes = self._watchdog.now, side.bytes_received
-                side.bytes_received += len(received)
-                machine.feed(received)
-        except STREAM_ERRORS as error:
-            return Ending(attempt.progress, why=repr(error))
-        return Ending(attempt.progress, machine.answer, load=machine.load)
-
-    @staticmethod
-    async def _write(connection: UpstreamConnection, attempt: UpstreamAttempt, data: bytes) -> None:
-        # Danger: what the kernel has taken may arrive after all that is done here; only a query of which some
-        # byte was never handed over has provably not run. A write that fails has handed over nothing.
-        while connection.unwritten_bytes:
-            if connection.unwritten_bytes < len(data):
-                await connection.stream.wait_writable()
-            rest = memoryview(data)[-connection.unwritten_bytes :]
-            connection.unwritten_bytes -= connection.stream.write(rest)
-        attempt.progress = Progress.WRITTEN
-
-    def _take(self, address: Address) -> UpstreamConnection | None:
-        """The connection that was used last, if it still stands."""
+                await self._release(connection)
+
+    # ---- connections -------------------------------------------------------------------------------
+
+    async def _acquire(self, address: Address) -> UpstreamConnection | Ending:
+        """A connection on which nothing is in flight; the attempt's ending where there is none."""
+        if (connection := self._take_idle(address)) is not None:
+            return connection
+        opened = await self._open(address)
+        if isinstance(opened, UpstreamConnection) and not opened.usable:
+            self._drop(opened)
+            return Ending(Progress.NOT_WRITTEN, why="closed before it was used")
+        return opened
+
+    def _take_idle(self, address: Address) -> UpstreamConnection | None:
+        """The connection that was used last, if it is still usable."""
         waiting, now = self._idle.get(address, []), self._clock.now()
-        for place in range(len(waiting) - 1, -1, -1):
-            if now - waiting[place].idle_since < REUSE_DELAY_MICROS:
+        for index in range(len(waiting) - 1, -1, -1):
+            if now - waiting[index].idle_since < REUSE_DELAY_MICROS:
                 continue
-            connection = waiting.pop(place)
-            if connection.usable and now - connection.idle_since < self._idle_most:
+            connection = waiting.pop(index)
+            if connection.usable and now - connection.idle_since < self._idle_timeout:
                 return connection
             self._drop(connection)
         return None
 
     async def _open(self, address: Address) -> UpstreamConnection | Ending:
         with anyio.move_on_after(self._connect_timeout):
-            while self._sockets.exhausted and not self.evict_idle():
+            while self.sockets.exhausted and not self.evict_idle():
                 await anyio.sleep(SOCKET_POLL_SECONDS)
-        if self._sockets.exhausted:
+        if self.sockets.exhausted:
             return Ending(Progress.NO_CONNECTION, why="no connection is free")
-        self._hold(1)
+        self._count_sockets(1)
         connection: UpstreamConnection | None = None
         answer = None
         why = "no connection in time"
         try:
             with anyio.move_on_after(self._connect_timeout):
-                connection = UpstreamConnection(address, await connect(address), self._guard)
-                if waiting := self._guard.options.waiting:
-                    connection.stream.limit_send_buffer(waiting.kernel_bytes)
-                machine = connection.machine
-                await connection.stream.send(machine.opening)
-                while machine.state is State.STARTING:
-                    machine.feed(await connection.stream.receive())
-                if machine.state is State.READY:
+                stream = await connect(address)
+                connection = UpstreamConnection(address, stream, self._slow_peers, self._monitor)
+                if waiting := self._slow_peers.options.waiting:
+                    stream.limit_send_buffer(waiting.kernel_bytes)
+                await connection.open()
+                if connection.machine.state is State.READY:
                     return connection
-                answer, why = machine.answer, "turned away"
+                answer, why = connection.machine.answer, "turned away"
         except (OSError, *STREAM_ERRORS) as error:
             why = repr(error)
         finally:
             if connection is None:
-                self._hold(-1)
+                self._count_sockets(-1)
             elif connection.machine.state is not State.READY:
                 self._drop(connection)
         refusal = answer if isinstance(answer, Refusal) else None
         return Ending(Progress.NO_CONNECTION, refusal, why=why)
 
-    async def _settle(self, connection: UpstreamConnection) -> None:
+    async def _release(self, connection: UpstreamConnection) -> None:
         """Wait for the end of an answer, then keep the connection for the next request."""
         machine = connection.machine
         try:
@@ -308,25 +191,26 @@
 
     def _drop(self, connection: UpstreamConnection) -> None:
         connection.attempt = None
-        self._hold(-1)
-        self._watchdog.cancel(connection)
+        self._count_sockets(-1)
+        self._monitor.cancel(connection)
         connection.stream.close()
 
-    def _hold(self, more: int) -> None:
-        self._count += more
-        self._sockets.used += more
+    def _count_sockets(self, change: int) -> None:
+        self._count += change
+        self.sockets.used += change
+
+    # ---- idle connections --------------------------------------------------------------------------
 
     def retain_addresses(self, addresses: Container[Address]) -> None:
-        """Close what waits for a request to any other address: who listens there next is somebody else."""
-        for address in [each for each in self._idle if each not in addresses]:
+        """Close idle connections to any other address: its next listener may be another server."""
+        for address in [known for known in self._idle if known not in addresses]:
             for connection in self._idle.pop(address):
                 self._drop(connection)
 
     def evict_idle(self) -> bool:
         """Close the connection that has been idle for longest; False where none is."""
-        oldest = min(
-            (each[0] for each in self._idle.values() if each), key=lambda each: each.idle_since, default=None
-        )
+        oldest_by_address = (waiting[0] for waiting in self._idle.values() if waiting)
+        oldest = min(oldest_by_address, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
             return False
         self._idle[oldest.address].remove(oldest)
@@ -334,21 +218,25 @@
         return True
 
     async def run_sweeper(self) -> None:
-        """Close connections that have been idle for long, or that the appliance has closed."""
+        """Close connections that have been idle for long or that the server has closed, for good."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
-            before = self._clock.now() - self._idle_most
+            expiry = self._clock.now() - self._idle_timeout
             for address in list(self._idle):
-                stale = [each for each in self._idle[address] if each.idle_since <= before or not each.usable]
-                self._idle[address] = [each for each in self._idle[address] if each not in stale]
-                if not self._idle[address]:
-                    del self._idle[address]
-                for each in stale:
-                    self._drop(each)
+                self._sweep(address, expiry)
+
+    def _sweep(self, address: Address, expiry: int) -> None:
+        waiting = self._idle[address]
+        stale = [each for each in waiting if each.idle_since <= expiry or not each.usable]
+        self._idle[address] = [each for each in waiting if each not in stale]
+        if not self._idle[address]:
+            del self._idle[address]
+        for connection in stale:
+            self._drop(connection)
 
     def close(self) -> None:
-        """Close what waits for a request."""
+        """Close all idle connections."""
         for waiting in self._idle.values():
-            for each in waiting:
-                self._drop(each)
+            for connection in waiting:
+                self._drop(connection)
         self._idle.clear()
--- a/tests/test_net_upstream_pool.py
+++ b/tests/test_net_upstream_pool.py
@@ -15,7 +15,8 @@
 from frostfall.interface import Outcome
 from frostfall.net.clock import Clock
 from frostfall.net.streams import SocketBudget
-from frostfall.net.upstream_pool import REUSE_DELAY_MICROS, UpstreamAttempt, UpstreamConnection, UpstreamPool
+from frostfall.net.upstream_connection import UpstreamAttempt, UpstreamConnection
+from frostfall.net.upstream_pool import REUSE_DELAY_MICROS, UpstreamPool
 from frostfall.protocol import pg
 from frostfall.protocol.ending import Ending, Progress
 from frostfall.protocol.pg_client import Row
