--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -193,9 +193,9 @@
         self.shared_health.end_round(duration)
         zones = {server.incarnation: server.info.zone for server in available}
         avoided = self.shared_health.servers_to_avoid(zones, self.random.random)
-        for server in available:
-            server.shared_error_rate = self.shared_health.failure_share(server.incarnation)
-            if server.incarnation in avoided:
+        for server, incarnation in zip(available, zones):
+            server.shared_error_rate = self.shared_health.failure_share(incarnation)
+            if incarnation in avoided:
                 server.ejected_until = max(server.ejected_until, now + duration)
         if test:
             self.rollout_test.end_round(now, test)
