--- a/frostfall/shared_health/message_codec.py
+++ b/frostfall/shared_health/message_codec.py
@@ -40,6 +40,13 @@
     evidence: float = 0.0  # sum of log-likelihood ratios, at or below zero
 
 
+class HealthEntry(msgspec.Struct, frozen=True, gc=False):
+    """The counts of one key."""
+
+    key: Key
+    counts: HealthCounts
+
+
 class HealthMessage(msgspec.Struct, frozen=True):
     """A decoded message."""
 
@@ -71,12 +78,13 @@
 )
 
 
-def encode_message(turn: int, entries: Iterable[tuple[Key, HealthCounts]], max_chars: int) -> str:
+def encode_message(turn: int, entries: Iterable[HealthEntry], max_chars: int) -> str:
     """Encode as many of the entries, in their order, as fit into so many characters."""
     with_evidence = bytearray()
     plain = bytearray()
     max_bytes = max_chars // 5 * 4 - HEADER.size  # base 85 takes 5 characters for 4 bytes
-    for key, counts in entries:
+    for entry in entries:
+        counts = entry.counts
         size = (EVIDENCE_ENTRY if counts.evidence else PLAIN_ENTRY).size
         if len(with_evidence) + len(plain) + size > max_bytes:
             break
@@ -85,9 +93,9 @@
         attempts = quantize(counts.attempts)
         failures = quantize(counts.failures)
         if counts.evidence:
-            with_evidence += EVIDENCE_ENTRY.pack(key, attempts, failures, quantize(-counts.evidence))
+            with_evidence += EVIDENCE_ENTRY.pack(entry.key, attempts, failures, quantize(-counts.evidence))
         else:
-            plain += PLAIN_ENTRY.pack(key, attempts, failures)
+            plain += PLAIN_ENTRY.pack(entry.key, attempts, failures)
     header = HEADER.pack(turn & TURN_MASK, len(with_evidence) // EVIDENCE_ENTRY.size)
     return b85encode(header + with_evidence + plain).decode()
 
--- a/frostfall/shared_health/push_sum.py
+++ b/frostfall/shared_health/push_sum.py
@@ -16,6 +16,7 @@
 from frostfall.shared_health.message_codec import (
     TURN_MASK,
     HealthCounts,
+    HealthEntry,
     Key,
     decode_message,
     encode_message,
@@ -42,15 +43,15 @@
 class PushSum:
     """One agent's part in the gossip. It owns the entries by key and the exchange under way."""
 
-    def __init__(self, agents: int, turns: int) -> None:
-        """Take part among `agents` agents, with `turns` exchanges in a round."""
+    def __init__(self, agents: int, exchanges: int) -> None:
+        """Take part among `agents` agents, with `exchanges` exchanges in a round."""
         self._agents = max(agents, 1)
-        self._turns = turns
+        self._exchanges = exchanges
         self._entries: dict[Key, _Entry] = {}
         self._sent: dict[Key, HealthCounts] = {}
         self._sent_turn = -1
         self._received: dict[Key, HealthCounts] | None = None
-        self._missed_turns = 0  # in this round
+        self._missed_exchanges = 0  # in this round
 
     def __len__(self) -> int:
         """The number of keys with an entry."""
@@ -86,10 +87,7 @@
         # Evidence that is left out would be held against a score that is sent, so persistent keys go first.
         selected = self._heaviest_persistent(persistent_keys)[:max_persistent]
         selected += self._heaviest_others(min_failure_shares, persistent_keys)
-        halves = [
-            (key, HealthCounts(counts.attempts / 2, counts.failures / 2, counts.evidence / 2))
-            for key, counts in selected
-        ]
+        halves = [HealthEntry(entry.key, _half(entry.counts)) for entry in selected]
         text = encode_message(turn, halves, max_chars)
         # What leaves this agent is what the partner will decode, or rounding would lose a part of the sum.
         message = decode_message(text)
@@ -98,10 +96,10 @@
         self._received = None
         return text
 
-    def _heaviest_persistent(self, persistent_keys: Set[Key]) -> list[tuple[Key, HealthCounts]]:
+    def _heaviest_persistent(self, persistent_keys: Set[Key]) -> list[HealthEntry]:
         return sorted(
             (
-                (key, entry.mixing)
+                HealthEntry(key, entry.mixing)
                 for key in persistent_keys
                 if (entry := self._entries.get(key)) and entry.mixing.failures > MIN_WEIGHT
             ),
@@ -110,7 +108,7 @@
 
     def _heaviest_others(
         self, min_failure_shares: Sequence[float], persistent_keys: Set[Key]
-    ) -> list[tuple[Key, HealthCounts]]:
+    ) -> list[HealthEntry]:
         min_failures = MIN_SHARED_FAILURES / self._agents
         selected = []
         for key, entry in self._entries.items():
@@ -118,7 +116,7 @@
                 continue
             counts = entry.mixing
             if counts.failures > max(min_failures, min_failure_shares[key_kind(key)] * counts.attempts):
-                selected.append((key, counts))
+                selected.append(HealthEntry(key, counts))
         selected.sort(key=_most_failures_first)
         return selected
 
@@ -133,7 +131,7 @@
         """End this turn's exchange; `unpaired`: the schedule had no partner for this agent."""
         if self._received is None or turn != self._sent_turn:
             # The half that was sent to an absent partner stays here, or it would be lost to the sum.
-            self._missed_turns += not unpaired
+            self._missed_exchanges += not unpaired
         else:
             self._subtract_sent()
             self._add_received(self._received)
@@ -170,7 +168,7 @@
         `retention` gives by kind the part of each entry that is kept; persistent keys are kept whole.
         """
         agents = self._mixed_agents()
-        self._missed_turns = 0
+        self._missed_exchanges = 0
         for key, entry in list(self._entries.items()):
             old = entry.mixing
             entry.totals = HealthCounts(old.attempts * agents, old.failures * agents, old.evidence * agents)
@@ -187,10 +185,10 @@
 
     def _mixed_agents(self) -> float:
         """How many agents' counts this agent's share stands for; fewer than all where it missed exchanges."""
-        if not self._missed_turns:
+        if not self._missed_exchanges:
             return self._agents
         # An agent that is cut off holds its own counts only; multiplied by all agents they would be too many.
-        return min(2.0 ** max(self._turns - self._missed_turns, 0), self._agents)
+        return min(2.0 ** max(self._exchanges - self._missed_exchanges, 0), self._agents)
 
     def discard(self, keys: Iterable[Key]) -> None:
         """Drop the entries of these keys."""
@@ -198,5 +196,9 @@
             self._entries.pop(key, None)
 
 
-def _most_failures_first(entry: tuple[Key, HealthCounts]) -> float:
-    return -entry[1].failures
+def _half(counts: HealthCounts) -> HealthCounts:
+    return HealthCounts(counts.attempts / 2, counts.failures / 2, counts.evidence / 2)
+
+
+def _most_failures_first(entry: HealthEntry) -> float:
+    return -entry.counts.failures
--- a/frostfall/shared_health/server_health.py
+++ b/frostfall/shared_health/server_health.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Callable, Mapping
 from enum import IntEnum
+from typing import NamedTuple
 from zlib import crc32
 
 from frostfall.shared_health.message_codec import HealthCounts, Key, make_key
@@ -39,34 +40,39 @@
 MIN_FAILURE_SHARES = (0.2, math.inf, 0.2)
 
 
+class _ServerKeys(NamedTuple):
+    recent_failures: Key
+    silence: Key
+
+
 class SharedHealth:
     """One agent's view of all servers, pooled with the other agents' views.
 
     It owns the push-sum state and the keys of the servers in the fleet and of those on trial.
     """
 
-    def __init__(self, agents: int, turns: int) -> None:
-        """Take part among `agents` agents, with `turns` exchanges in a round."""
-        self.push_sum = PushSum(agents, turns)
+    def __init__(self, agents: int, exchanges: int) -> None:
+        """Take part among `agents` agents, with `exchanges` exchanges in a round."""
+        self.push_sum = PushSum(agents, exchanges)
         self._trial: dict[Key, ServerIncarnation] = {}
         self._stage = NO_STAGE
-        self._keys: dict[ServerIncarnation, tuple[Key, Key]] = {}
+        self._keys: dict[ServerIncarnation, _ServerKeys] = {}
 
     def record_attempt(self, server: ServerIncarnation, zone: str, failed: bool, silent: bool) -> None:
         """Record an attempt of this agent's own; `silent`: no data has come since it began."""
-        failure_key, silence_key = self._server_keys(server)
+        keys = self._server_keys(server)
         if not silent:
-            self.push_sum.record(failure_key, 1, failed)
-        self.push_sum.record(silence_key, 1, silent)
+            self.push_sum.record(keys.recent_failures, 1, failed)
+        self.push_sum.record(keys.silence, 1, silent)
         self.push_sum.record(_zone_key(zone), 1, silent)
 
-    def _server_keys(self, server: ServerIncarnation) -> tuple[Key, Key]:
-        """The server's keys for recent failures and for silence."""
+    def _server_keys(self, server: ServerIncarnation) -> _ServerKeys:
         keys = self._keys.get(server)
         if keys is None:
-            failure_key = make_key(KeyKind.RECENT_FAILURES, *server)
-            silence_key = make_key(KeyKind.SILENCE, *server)
-            keys = self._keys[server] = failure_key, silence_key
+            keys = self._keys[server] = _ServerKeys(
+                recent_failures=make_key(KeyKind.RECENT_FAILURES, *server),
+                silence=make_key(KeyKind.SILENCE, *server),
+            )
         return keys
 
     def servers_to_avoid(
@@ -82,7 +88,7 @@
         unreachable = [
             server
             for server, zone in fleet.items()
-            if zone in lost_zones or self._is_unreachable(self._server_keys(server)[1])
+            if zone in lost_zones or self._is_unreachable(self._server_keys(server).silence)
         ]
         if len(unreachable) > MAX_UNREACHABLE_SHARE * len(fleet):
             return set()
@@ -96,7 +102,7 @@
 
     def failure_share(self, server: ServerIncarnation) -> float:
         """The recent share of failures, with prior successes added; 0 where no failure is known."""
-        counts = self.push_sum.totals(self._server_keys(server)[0])
+        counts = self.push_sum.totals(self._server_keys(server).recent_failures)
         if counts.failures <= 0:
             return 0.0
         return min(counts.failures / (max(counts.attempts, counts.failures) + PRIOR_SUCCESSES), 1.0)
