--- a/frostfall/recovery/operation_log.py
+++ b/frostfall/recovery/operation_log.py
@@ -139,6 +139,14 @@
         return self.end_state is None and self.replicated and (self.confirmed_absent or not self.needs_poll)
 
 
+class _StoredOperation(NamedTuple):
+    """An operation's record in the log."""
+
+    state: RecordState
+    payload: bytes
+    location: int  # packed
+
+
 class OperationLog:
     """The operations that one member knows: those in progress, and those that have ended in its log."""
 
@@ -201,8 +209,9 @@
             location = self._location(name, key)
             yield Record(RecordState.OUTCOME_UNKNOWN, key, encode_payload(name), location)
 
-    def _find(self, name: str, key: int) -> tuple[RecordState, bytes, int] | None:
-        return self._find_record(key, lambda data: decode_name(data) == name)
+    def _find(self, name: str, key: int) -> _StoredOperation | None:
+        found = self._find_record(key, lambda data: decode_name(data) == name)
+        return None if found is None else _StoredOperation(*found)
 
     def _location(self, name: str, key: int) -> int:
         """The packed location of an operation's record; 0 where it has none."""
@@ -212,7 +221,7 @@
         if len(locations) == 1:
             return pack_location(*locations[0])
         found = self._find(name, key)
-        return found[2] if found else 0
+        return found.location if found else 0
 
     # ---- attempts ----------------------------------------------------------------------------------
 
@@ -229,9 +238,8 @@
         found = self._find(name, operation_key(name))
         if found is None:
             return None
-        state, data, _ = found
-        if state is RecordState.SERVED:
-            return OperationResult(OperationStatus.SERVED, decode_answer(data))
+        if found.state is RecordState.SERVED:
+            return OperationResult(OperationStatus.SERVED, decode_answer(found.payload))
         return OperationResult(OperationStatus.FAILED)
 
     def admit(self, name: str, is_retry: bool) -> Admission:
@@ -318,11 +326,11 @@
         key = operation_key(name)
         found = self._find(name, key)
         if state is RecordState.SERVED:
-            if found and found[0] is RecordState.SERVED:
+            if found and found.state is RecordState.SERVED:
                 return 0
             self.lost.pop(name, None)
             data = encode_payload(name, answer, age)
-            return self.journal.append(Record(state, key, data, found[2] if found else 0))
+            return self.journal.append(Record(state, key, data, found.location if found else 0))
         if found or state is RecordState.FENCED or name in self.lost:
             return 0
         # An open replica is of an earlier incarnation: operations in progress here were skipped above.
@@ -332,8 +340,8 @@
     def restore_durable(self, name: str) -> None:
         """A restored operation is durable; one that may have run counts as lost, as after a power loss."""
         found = self._find(name, operation_key(name))
-        if found and found[0] is RecordState.OUTCOME_UNKNOWN:
-            self.lost[name] = found[2]
+        if found and found.state is RecordState.OUTCOME_UNKNOWN:
+            self.lost[name] = found.location
 
     # ---- polls between members ---------------------------------------------------------------------
 
