--- /dev/null
+++ b/frostfall/net/operations/context.py
@@ -0,0 +1,80 @@
+"""What the parts of operation handling share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from anyio.abc import TaskGroup
+
+from frostfall import interface as api
+from frostfall.group_options import GroupOptions
+from frostfall.membership.member_list import MemberList
+from frostfall.net.log_writer import LogWriter
+from frostfall.net.member_transport import MemberConnection
+from frostfall.net.operations.interfaces import RequestHandler
+from frostfall.net.replication import ReplicationDriver
+from frostfall.protocol.ending import Final
+from frostfall.protocol.pg import READY
+from frostfall.protocol.pg_server import failed, refused
+from frostfall.recovery.operation_log import OperationLog, OperationResult
+from frostfall.recovery.readiness import Readiness, ReadinessInputs
+from frostfall.recovery.retry_after import RetryAfterJitter
+from frostfall.replication.replica_store import ReplicaStore
+
+DEADLINE_MARGIN = 10_000  # microseconds before its deadline at which a waiting attempt is given up
+MICROSECONDS = 1e6  # in a second
+MILLISECONDS = 1000  # in a second
+
+
+@dataclass(slots=True)
+class OperationContext:
+    """The state machines and drivers that operations use; each has its owner elsewhere."""
+
+    name: str  # of this member
+    options: GroupOptions
+    idempotency: dict[str, api.Idempotency]  # by request class
+    handler: RequestHandler
+    clock: Callable[[], int]  # microseconds, as deadlines count them
+    monotonic_clock: Callable[[], float]  # seconds
+    retry_after: RetryAfterJitter
+    operation_log: OperationLog
+    replica_store: ReplicaStore
+    disk: LogWriter
+    membership: MemberList
+    readiness: Readiness
+    inputs: ReadinessInputs
+    connections: dict[str, MemberConnection]  # by member
+    replication: ReplicationDriver | None
+    on_unreadable: Callable[[Exception], None]  # told when the log cannot be read
+    is_complete: Callable[[str], bool]  # whether an owner's record is complete here
+    task_group: TaskGroup | None = None  # set once the member runs
+    removed_members: list[str] = field(init=False)  # removed for good; their replicas are still read
+
+    def __post_init__(self) -> None:
+        """Note the members that were removed."""
+        self.removed_members = [member.name for member in self.options.members if member.gone]
+
+    def seconds_left(self, deadline: int) -> float:
+        """Seconds until a request with this deadline (microseconds) has to be given up."""
+        return max(deadline - DEADLINE_MARGIN - self.clock(), 0) / MICROSECONDS
+
+    def poll_timeout(self, deadline: int) -> float:
+        """Seconds that a poll for a request with this deadline (microseconds) may take."""
+        return min(self.options.waits.ask, self.seconds_left(deadline))
+
+    def rejection(self) -> bytes:
+        """The answer to an attempt that a client may safely retry, with the time after which to do so."""
+        return refused(int(self.retry_after.next_delay(self.monotonic_clock()) * MILLISECONDS))
+
+    def conclude(self, request: str, result: OperationResult | None) -> None:
+        """Answer a request with the result of its operation; None: it may have run."""
+        served = result is not None and result.is_answered
+        self.handler.conclude(request, encode_result(result), Final.SERVED if served else Final.FAILED)
+
+
+def encode_result(result: OperationResult | None) -> bytes:
+    """The answer to a client: the operation's own where it is known, else that it may have run."""
+    if result is not None and result.is_answered and result.answer is not None:
+        return result.answer + READY
+    return failed()
--- /dev/null
+++ b/frostfall/net/operations/coordinator.py
@@ -0,0 +1,245 @@
+"""Clients' attempts at operations: admitted, joined, answered again, or passed on to the decision module."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import anyio
+
+from frostfall import interface as api
+from frostfall.net.operations.context import DEADLINE_MARGIN, OperationContext, encode_result
+from frostfall.net.operations.dispatch import DispatchAuthorizer
+from frostfall.net.operations.endings import OperationEndings
+from frostfall.net.operations.interfaces import ClientAttempt, WaitingClient
+from frostfall.net.operations.peer_poll import PeerPoll
+from frostfall.net.operations.settlement import OperationSettlement
+from frostfall.protocol.ending import Ending, Final
+from frostfall.protocol.pg import READY
+from frostfall.protocol.pg_client import Row
+from frostfall.protocol.pg_server import failed
+from frostfall.protocol.statement import Statement
+from frostfall.recovery.operation_log import (
+    MAX_NAME_BYTES,
+    Admission,
+    AdmissionDecision,
+    Operation,
+    OperationResult,
+    OperationStatus,
+)
+from frostfall.recovery.readiness import ReadinessStage
+from frostfall.storage.segment_codec import RecordState
+
+
+class OperationCoordinator:
+    """Owns which request executes which operation."""
+
+    def __init__(self, context: OperationContext) -> None:
+        """The context's task group is set before anything else is called."""
+        self._context = context
+        self._peer_poll = PeerPoll(context.membership, context.connections)
+        self._settlement = OperationSettlement(context, self._peer_poll)
+        self._endings = OperationEndings(context)
+        self._authorizer = DispatchAuthorizer(context, self._peer_poll, self._settlement, self._endings)
+        self._operations: dict[str, Operation] = {}  # by request
+
+    # ---- admission ---------------------------------------------------------------------------------
+
+    def handle_query(self, statement: Statement, client: WaitingClient, deadline: int) -> bool:
+        """Take a client's query; False where the decision module is to execute it.
+
+        `deadline` is in microseconds, as everywhere here.
+        """
+        idempotency = self._context.idempotency[statement.class_name]
+        if idempotency is not api.Idempotency.NON_IDEMPOTENT:
+            return self._reject_unless_ready(idempotency, client)
+        name = self._operation_name(statement)
+        if len(name.encode()) > MAX_NAME_BYTES:
+            client.answer(failed())
+            return True
+        try:
+            admission = self._admit(name, statement)
+        except (OSError, ValueError) as error:
+            self._context.on_unreadable(error)
+            client.answer(failed())
+            return True
+        match admission.decision:
+            case AdmissionDecision.REPLAY:
+                self._replay(name, admission.result, ClientAttempt(client, statement.request), deadline)
+            case AdmissionDecision.RETRY:
+                # It never ran here, but an earlier attempt may have run at another member.
+                may_have_run = self._may_be_retry(statement)
+                client.answer(failed() if may_have_run else self._context.rejection())
+            case AdmissionDecision.JOIN:
+                self._join(name, ClientAttempt(client, statement.request), deadline)
+            case AdmissionDecision.START | AdmissionDecision.POLL_PEERS:
+                return self._begin(name, admission, statement, client, deadline)
+        return True
+
+    def _reject_unless_ready(self, idempotency: api.Idempotency, client: WaitingClient) -> bool:
+        is_keyed = idempotency is not api.Idempotency.IDEMPOTENT
+        stage = ReadinessStage.KEYED if is_keyed else ReadinessStage.LOCAL_READS
+        if self._context.readiness.is_ready(stage):
+            return False
+        client.answer(self._context.rejection())
+        return True
+
+    def _admit(self, name: str, statement: Statement) -> Admission:
+        if not self._context.inputs.log_replayed:
+            return Admission(AdmissionDecision.POLL_PEERS)
+        return self._context.operation_log.admit(name, statement.is_retry)
+
+    def _replay(
+        self, name: str, result: OperationResult | None, attempt: ClientAttempt, deadline: int
+    ) -> None:
+        if result is None or result.status is OperationStatus.FAILED:
+            # It may have run by this member's hand, and another one may know that it did.
+            self._look_up(name, attempt, deadline)
+        else:
+            attempt.client.answer(encode_result(result))
+
+    def _begin(
+        self, name: str, admission: Admission, statement: Statement, client: WaitingClient, deadline: int
+    ) -> bool:
+        """Begin an operation, unless a replica has its answer or this member is not ready for it."""
+        in_progress, log_replayed = self._context.operation_log.in_progress, self._context.inputs.log_replayed
+        must_poll = admission.decision is AdmissionDecision.POLL_PEERS
+        if must_poll and log_replayed and (result := self._replicated_answer(name)):
+            self._abandon(in_progress[name])
+            client.answer(encode_result(result))
+            return True
+        if self._context.readiness.is_ready(ReadinessStage.NON_IDEMPOTENT):
+            operation = in_progress[name]
+            operation.client_deadline = deadline - DEADLINE_MARGIN
+            self._operations[statement.request] = operation
+            return False
+        if log_replayed:
+            self._abandon(in_progress[name])
+        # An earlier attempt may have run, so that calling a retry harmless could be wrong.
+        if self._may_be_retry(statement):
+            self._look_up(name, ClientAttempt(client, statement.request), deadline)
+        else:
+            client.answer(self._context.rejection())
+        return True
+
+    def _abandon(self, operation: Operation) -> None:
+        """Forget an operation that was admitted, and of which nothing was written."""
+        self._context.operation_log.record_end(operation, RecordState.NOT_EXECUTED)
+
+    def _replicated_answer(self, name: str) -> OperationResult | None:
+        """The answer that another member gave, where its replica is here."""
+        context = self._context
+        if context.replication is None:
+            return None
+        try:
+            results = [
+                context.replica_store.read(owner, name)
+                for owner in (*context.membership.peers, *context.removed_members)
+            ]
+        except (OSError, ValueError) as error:
+            context.on_unreadable(error)
+            return None
+        return next((result for result in results if result.is_answered), None)
+
+    def _look_up(self, name: str, attempt: ClientAttempt, deadline: int) -> None:
+        """Answer an attempt with what other members know; without any, that it may have run."""
+        if not (self._context.task_group and self._context.connections):
+            attempt.client.answer(failed())
+            return
+
+        async def look_up() -> None:
+            attempt.notify(encode_result(await self._settlement.find_result(name, deadline)))
+
+        self._context.task_group.start_soon(look_up)
+
+    def _join(self, name: str, attempt: ClientAttempt, deadline: int) -> None:
+        """Let an attempt wait for the end of an operation in progress, until its own deadline."""
+        operation = self._context.operation_log.in_progress[name]
+        operation.waiters.append(attempt)
+
+        async def expire() -> None:
+            await anyio.sleep(self._context.seconds_left(deadline))
+            if attempt in operation.waiters:
+                operation.waiters.remove(attempt)
+                attempt.notify(failed())
+
+        if self._context.task_group:
+            self._context.task_group.start_soon(expire)
+
+    def is_known(self, statement: Statement) -> bool:
+        """Whether this retries an operation that is known here."""
+        idempotency = self._context.idempotency[statement.class_name]
+        if idempotency is not api.Idempotency.NON_IDEMPOTENT or not self._context.inputs.log_replayed:
+            return False
+        try:
+            return self._context.operation_log.lookup(self._operation_name(statement)) is not None
+        except (OSError, ValueError):
+            return False
+
+    def _operation_name(self, statement: Statement) -> str:
+        comment_field = self._context.options.operation
+        return (statement.field(comment_field) if comment_field else "") or statement.request
+
+    def _may_be_retry(self, statement: Statement) -> bool:
+        return statement.is_retry or not self._context.options.retries_marked
+
+    # ---- execution ---------------------------------------------------------------------------------
+
+    async def authorize_dispatch(self, request: str, is_over: Callable[[], bool], deadline: int) -> bool:
+        """Wait until an attempt may be sent to a server; False where it never will be.
+
+        True is returned without a task switch after the last check.
+        """
+        operation = self._operations.get(request)
+        if operation is None:
+            return True
+        return await self._authorizer.authorize(request, operation, is_over, deadline)
+
+    def attempt_ended(self, request: str, ending: Ending) -> None:
+        """An attempt has ended, also one whose request is done."""
+        operation = self._operations.get(request)
+        if operation is None:
+            return
+        if isinstance(ending.answer, Row):
+            self._endings.end(operation, RecordState.SERVED, ending.answer.data)
+        elif not ending.outcome.never_ran:
+            operation.may_have_run = True
+
+    def finish_request(
+        self, request: str, answer: bytes, end: Final, client: WaitingClient, over: bool
+    ) -> None:
+        """Give a request's final answer: at once, but a non-idempotent one's that was served once durable.
+
+        `over`: none of its attempts is in flight.
+        """
+        attempt, operation = ClientAttempt(client, request), self._operations.get(request)
+        if operation is None:
+            attempt.notify(answer)
+            return
+        if over:
+            del self._operations[request]
+        if end is Final.SERVED:
+            self._finish_served(operation, attempt, answer)
+            return
+        if end is Final.REFUSED and operation.needs_poll and not operation.confirmed_absent:
+            answer = failed()  # an earlier attempt may have run at another member
+        has_run = end is Final.FAILED and operation.dispatched
+        self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
+        attempt.notify(answer)
+        self._endings.notify(operation, answer)
+
+    def _finish_served(self, operation: Operation, attempt: ClientAttempt, answer: bytes) -> None:
+        if self._context.operation_log.is_in_progress(operation):
+            operation.waiters.insert(0, attempt)
+            self._endings.end(operation, RecordState.SERVED, answer[: -len(READY)])
+        else:  # it was served by another member
+            attempt.notify(answer)
+            self._endings.notify(operation, answer)
+
+    def request_closed(self, request: str) -> None:
+        """A request is over with all its attempts."""
+        operation = self._operations.pop(request, None)
+        if operation and self._context.operation_log.is_in_progress(operation):
+            # its client disconnected before the operation ended
+            has_run = operation.may_have_run
+            self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
+            self._endings.notify(operation, failed())
--- /dev/null
+++ b/frostfall/net/operations/endings.py
@@ -0,0 +1,70 @@
+"""Ends operations: the end goes to the log and to the replicas, then the waiting clients are notified."""
+
+from __future__ import annotations
+
+from frostfall.net.operations.context import OperationContext
+from frostfall.protocol.pg import READY
+from frostfall.protocol.pg_server import failed
+from frostfall.recovery.operation_log import Operation
+from frostfall.replication.replica_store import ReplicaUpdate
+from frostfall.storage.segment_codec import RecordState
+
+
+class OperationEndings:
+    """Records the ends of operations in progress."""
+
+    def __init__(self, context: OperationContext) -> None:
+        """Ends are recorded in the context's operation log."""
+        self._context = context
+
+    def end(self, operation: Operation, state: RecordState, answer: bytes | None = None) -> None:
+        """End an operation, if it is still in progress; an answer is given once it is durable."""
+        operation_log, replication = self._context.operation_log, self._context.replication
+        if not operation_log.is_in_progress(operation):
+            return
+        ticket = operation_log.record_end(operation, state, answer)
+        if ticket and replication and state is not RecordState.SERVED:
+            replication.write_in_background(ReplicaUpdate(state, operation.name))
+        if ticket:
+            self._finish_when_durable(operation, ticket, answer)
+        elif answer is not None:
+            self.notify(operation, answer + READY)
+
+    def _finish_when_durable(self, operation: Operation, ticket: int, answer: bytes | None) -> None:
+        def on_durable(good: bool) -> None:
+            next_ticket = self._context.operation_log.end_durable(operation) if good else 0
+            if next_ticket:
+                self._finish_when_durable(operation, next_ticket, answer)
+            elif answer is not None:
+                # After a disk failure the answer is still true, and whoever retries is told no less.
+                self._give_answer(operation, answer)
+
+        self._context.disk.when_durable(ticket, on_durable)
+        self._context.disk.wake()
+
+    def _give_answer(self, operation: Operation, answer: bytes) -> None:
+        if self._context.replication and self._context.task_group:
+            self._context.task_group.start_soon(self._notify_once_replicated, operation, answer)
+        else:
+            self.notify(operation, answer + READY)
+
+    async def _notify_once_replicated(self, operation: Operation, answer: bytes) -> None:
+        """Give an answer once enough replica holders have it."""
+        context = self._context
+        if context.replication is None:
+            raise RuntimeError("an answer waits for replicas, and there are none")
+        stored_answer = answer if len(answer) <= context.options.store.answer_bytes else None
+        update = ReplicaUpdate(RecordState.SERVED, operation.name, stored_answer)
+
+        def expired() -> bool:
+            return context.clock() >= operation.client_deadline
+
+        # Where others have settled it meanwhile, they reported that it may have run: so does this answer.
+        replicated = await context.replication.quorum_write(update, expired, {})
+        self.notify(operation, answer + READY if replicated else failed())
+
+    def notify(self, operation: Operation, answer: bytes) -> None:
+        """Give the final answer to all clients that wait for an operation."""
+        waiters, operation.waiters = operation.waiters, []
+        for waiter in waiters:
+            waiter.notify(answer)
--- /dev/null
+++ b/frostfall/net/operations/peer_poll.py
@@ -0,0 +1,113 @@
+"""Polls the other members for what they know of an operation."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterable
+from functools import partial
+
+import anyio
+
+from frostfall.membership.member_list import MemberList, MemberState
+from frostfall.net.member_transport import MemberConnection, PeerOperationStatus
+from frostfall.recovery.operation_log import OperationResult, OperationStatus
+
+POLL_INTERVAL = 0.05  # seconds between two polls about an operation
+_ENDED = (OperationStatus.SERVED, OperationStatus.FAILED)
+
+
+class PollReplies(dict[str, PeerOperationStatus]):
+    """What members replied to a poll, by member."""
+
+    def ended_result(self) -> OperationResult | None:
+        """The best result among the replies; None where no member knows how the operation ended."""
+        return best_result(
+            OperationResult(OperationStatus(reply.status), reply.answer) for reply in self.values()
+        )
+
+    def members_reporting(self, status: OperationStatus) -> list[str]:
+        """Members that replied with this status."""
+        return [member for member, reply in self.items() if reply.status == status.value]
+
+    def silent_among(self, members: Iterable[str]) -> list[str]:
+        """Members that did not reply, or whose record is incomplete."""
+        return [
+            member
+            for member in members
+            if member not in self or self[member].status == OperationStatus.INDETERMINATE.value
+        ]
+
+    def all_absent(self, members: Collection[str]) -> bool:
+        """Whether all these members replied that their records lack the operation."""
+        return len(self) == len(members) == len(self.members_reporting(OperationStatus.ABSENT))
+
+
+def best_result(results: Iterable[OperationResult | None]) -> OperationResult | None:
+    """The result that says most of how an operation ended: served before failed, stored answers first."""
+    ended = [result for result in results if result and result.status in _ENDED]
+    return max(
+        ended,
+        key=lambda result: (result.status is OperationStatus.SERVED, result.answer is not None),
+        default=None,
+    )
+
+
+def incarnations_agreed(membership: MemberList, replies: PollReplies, members: Iterable[str]) -> bool:
+    """Whether these members, by their replies, and this one have recorded each other's incarnations."""
+    tokens = {member: replies[member].incarnation_token for member in members}
+    recorded = {member: replies[member].recorded_tokens for member in members}
+    return membership.incarnations_agreed(tokens, recorded)
+
+
+class PeerPoll:
+    """Sends polls over the members' connections."""
+
+    def __init__(self, membership: MemberList, connections: dict[str, MemberConnection]) -> None:
+        """`connections`: by member; they may be added later."""
+        self._membership = membership
+        self._connections = connections
+
+    @property
+    def members(self) -> list[str]:
+        """The members that can be polled."""
+        return list(self._connections)
+
+    async def poll(self, name: str, members: list[str], timeout: float) -> PollReplies:
+        """Poll these members for at most `timeout` seconds; stop once all replied, or one has the answer."""
+        poll_round = _PollRound(self._membership, members)
+        if not members:
+            return poll_round.replies
+        with anyio.move_on_after(timeout):
+            while not poll_round.finished.is_set():
+                for member in poll_round.take_unreached():
+                    reply_to = partial(poll_round.receive, member)
+                    self._connections[member].query_status(name, reply_to)
+                with anyio.move_on_after(POLL_INTERVAL if poll_round.unreached else None):
+                    await poll_round.finished.wait()
+        return poll_round.replies
+
+
+class _PollRound:
+    """The state of one poll."""
+
+    def __init__(self, membership: MemberList, members: list[str]) -> None:
+        self._membership = membership
+        self._awaited = set(members)
+        self.unreached = list(members)  # to be polled, once more where a connection was lost
+        self.replies = PollReplies()
+        self.finished = anyio.Event()
+
+    def take_unreached(self) -> list[str]:
+        """The members to poll now."""
+        unreached, self.unreached = self.unreached, []
+        return unreached
+
+    def receive(self, member: str, reply: PeerOperationStatus | None) -> None:
+        """A member has replied; None: its connection is lost."""
+        if reply is None and self._membership.peers[member].state is not MemberState.DEAD:
+            self.unreached.append(member)  # it may be starting
+            return
+        self._awaited.discard(member)
+        if reply is not None:
+            self.replies[member] = reply
+        if not self._awaited or (reply is not None and reply.status == OperationStatus.SERVED.value):
+            self.finished.set()
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -18,7 +18,7 @@
 from frostfall.net.consensus import ConsensusDriver
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import CONNECTIONS_PER_MEMBER
-from frostfall.net.operations import OperationCoordinator, RequestHandler
+from frostfall.net.operations import OperationContext, OperationCoordinator, RequestHandler
 from frostfall.net.recovery.core import ChangeSignal, Dependencies, MemberCore, MetadataWriter
 from frostfall.net.recovery.endpoint_cache import EndpointCache
 from frostfall.net.recovery.heartbeats import HeartbeatExchange
@@ -74,8 +74,9 @@
         self.operation_log = core.operation_log
         self.journal = core.wal
         self._make_drivers(config)
-        self._make_parts(config, handler)
-        self._make_front_end(config, handler, clock)
+        self._make_state_owners(config, handler)
+        self._make_request_handler(clock)
+        self._make_operations(config, handler, clock)
 
     def _make_core(self, name: str) -> MemberCore:
         options, dependencies = self.options, self._dependencies
@@ -145,7 +146,7 @@
         gone = frozenset(member.name for member in self.options.members if member.gone)
         return AntiEntropyScheduler(self._core.name, zones, self.options.copies, gone)
 
-    def _make_parts(self, config: Config, handler: RequestHandler) -> None:
+    def _make_state_owners(self, config: Config, handler: RequestHandler) -> None:
         """The owners of what is recorded in the log, and those that bring it together."""
         core, rollout_settings = self._core, config.settings.rollout
         exposure_window = rollout_settings.exposure_window / MICROSECONDS if rollout_settings else 0.0
@@ -174,8 +175,8 @@
             self._replica_repair.assignment if self._replica_repair else None,
         )
 
-    def _make_front_end(self, config: Config, handler: RequestHandler, clock: Callable[[], int]) -> None:
-        """What answers members, operators and clients."""
+    def _make_request_handler(self, clock: Callable[[], int]) -> None:
+        """What answers members and operators."""
         core = self._core
         self._heartbeats = HeartbeatExchange(
             core,
@@ -202,25 +203,30 @@
             self._replica_repair,
             self._consensus,
         )
-        self.operations = OperationCoordinator(
-            core.name,
-            self.options,
-            {each.name: each.idempotency for each in config.settings.classes},
-            handler,
-            clock,
-            core.monotonic_clock,
-            RetryAfterJitter(UNCROWDED_REJECTION_RATE, config.seed ^ RETRY_JITTER_SEED),
-            core.operation_log,
-            core.replica_store,
-            core.disk,
-            core.membership,
-            core.readiness,
-            core.inputs,
-            core.connections,
-            self._replication,
-            self._completeness.mark_unreadable,
-            self._completeness.is_complete,
+
+    def _make_operations(self, config: Config, handler: RequestHandler, clock: Callable[[], int]) -> None:
+        """What answers clients."""
+        core = self._core
+        self._operation_context = OperationContext(
+            name=core.name,
+            options=self.options,
+            idempotency={each.name: each.idempotency for each in config.settings.classes},
+            handler=handler,
+            clock=clock,
+            monotonic_clock=core.monotonic_clock,
+            retry_after=RetryAfterJitter(UNCROWDED_REJECTION_RATE, config.seed ^ RETRY_JITTER_SEED),
+            operation_log=core.operation_log,
+            replica_store=core.replica_store,
+            disk=core.disk,
+            membership=core.membership,
+            readiness=core.readiness,
+            inputs=core.inputs,
+            connections=core.connections,
+            replication=self._replication,
+            on_unreadable=self._completeness.mark_unreadable,
+            is_complete=self._completeness.is_complete,
         )
+        self.operations = OperationCoordinator(self._operation_context)
 
     def _checkpoint_records(self) -> Iterable[Record]:
         return self._log_replay.checkpoint_records()
@@ -232,7 +238,7 @@
         self._endpoints.publish_to(on_endpoint_list)
         self._readiness_driver.restart_clock()
         async with anyio.create_task_group() as group:
-            self.operations.task_group = group
+            self._operation_context.task_group = group
             if self._replication:
                 self._replication.task_group = group
                 self._replication.lines = self._core.connections
