--- a/frostfall/model/simulation.py
+++ b/frostfall/model/simulation.py
@@ -63,7 +63,7 @@
         for member in self._members.values():
             member.disk.clear_faults()
             incarnation = member.incarnation
-            if incarnation and (incarnation.program.journal.failure_reason or incarnation.replaced):
+            if incarnation and (incarnation.program.wal.failure_reason or incarnation.replaced):
                 member.power_off()
         await anyio.sleep(RESTART_PAUSE)
         for member in self._members.values():
--- a/frostfall/net/recovery/endpoint_cache.py
+++ b/frostfall/net/recovery/endpoint_cache.py
@@ -63,13 +63,14 @@
         try:
             stored = msgspec.convert(self._stored.endpoint_list, Listing)
         except msgspec.ValidationError as error:
-            _log.warning("remembered list cannot be read", why=str(error))
+            _log.warning("cached endpoint list unreadable", reason=str(error))
             return
         if stored.generation >= self._unconfirmed.generation:
             self._unconfirmed = stored
             self._generation = max(self._generation, stored.generation)
             self.publish_unconfirmed()
-        _log.info("remembered list", age_s=round(self._core.wall_clock() - self._stored.saved_at, 1))
+        age = self._core.wall_clock() - self._stored.saved_at
+        _log.info("cached endpoint list used", age_s=round(age, 1))
 
     def save_if_changed(self) -> None:
         """Append the list to the log if it has changed since the last call."""
@@ -113,14 +114,14 @@
         try:
             received = msgspec.convert(raw, Listing)
         except msgspec.ValidationError as error:
-            _log.warning("a member's list cannot be read", why=str(error))
+            _log.warning("peer endpoint list unreadable", reason=str(error))
             return
         # Servers may have other addresses for other agents: those known here are kept.
         own_addresses = {entry.instance_id: entry.host_port for entry in self._unconfirmed.instances}
         for entry in received.instances:
             entry.host_port = own_addresses.get(entry.instance_id, entry.host_port)
         self._unconfirmed = received
-        _log.info("list of another member", generation=received.generation)
+        _log.info("peer endpoint list used", generation=received.generation)
         self.publish_unconfirmed()
 
     # ---- lists that go out -------------------------------------------------------------------------
--- a/frostfall/net/recovery/heartbeats.py
+++ b/frostfall/net/recovery/heartbeats.py
@@ -83,7 +83,7 @@
         self._rollout.record_rollback(heartbeat.rolled_back_build)
         self._endpoints.request_newer(heartbeat.sender, heartbeat.endpoint_list_generation)
         if membership.incarnation_floor > floor_before:
-            _log.warning("others knew later lives of this member", beyond=membership.incarnation_floor)
+            _log.warning("incarnation number already used", floor=membership.incarnation_floor)
         self._core.changed.notify()
 
     def _receive_incarnation(self, heartbeat: Heartbeat, peer: Peer) -> None:
@@ -127,4 +127,4 @@
     def _report_clock_skew(self, member: str, offset: float) -> None:
         if abs(offset) > CLOCK_SKEW_WARNING and member not in self._clock_skew_reported:
             self._clock_skew_reported.add(member)
-            _log.warning("clocks differ", member=member, ahead_s=round(offset, 1))
+            _log.warning("clock skew", peer=member, offset_s=round(offset, 1))
--- a/frostfall/net/recovery/log_replay.py
+++ b/frostfall/net/recovery/log_replay.py
@@ -119,7 +119,7 @@
     def _refuse(self, reason: str) -> None:
         self._core.inputs.unusable_reason = reason
         self._core.operation_log.incomplete_reason = IncompleteReason(reason)
-        _log.error("the record cannot be used: no unsafe work is taken", why=reason)
+        _log.error("record unusable", reason=reason)
 
     def _settle_open_operations(self) -> None:
         core = self._core
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -72,7 +72,7 @@
         self.readiness = core.readiness
         self.readiness_inputs = core.inputs
         self.operation_log = core.operation_log
-        self.journal = core.wal
+        self.wal = core.wal
         self._make_drivers(config)
         self._make_state_owners(config, handler)
         self._make_request_handler(clock)
@@ -285,7 +285,7 @@
             try:
                 await listener.run(address)
             except OSError as error:
-                _log.error("the group cannot be listened for", why=str(error))
+                _log.error("member listener failed", reason=str(error))
             await anyio.sleep(LISTEN_RETRY_DELAY)
 
     async def _run_periods(self) -> None:
--- a/frostfall/net/recovery/operator_commands.py
+++ b/frostfall/net/recovery/operator_commands.py
@@ -45,7 +45,7 @@
         """Carry out a command; the report is given once it is durable, and so outlives a power loss."""
         ticket = 0
         if command == ACCEPT_LOSS and self._has_loss() and self._core.disk.is_open:
-            _log.warning("operators accept the loss", who=operator, doubt=self._completeness.detail)
+            _log.warning("record loss accepted", operator=operator, reason=self._completeness.detail)
             ticket = self._completeness.accept_loss()
         elif command in (HOLD_VOTES, RELEASE_VOTES):
             ticket = self._vote_holds.issue(operator, active=command == HOLD_VOTES)
@@ -65,7 +65,7 @@
         self, consensus: ConsensusDriver, request_id: int, operator: str, key: str, value: str
     ) -> OperatorReport:
         """Set a key of the register, from the version that it has here."""
-        _log.warning("register", key=key, value=value, who=operator)
+        _log.warning("register write requested", key=key, value=value, operator=operator)
         version = consensus.register.get(key).version
         succeeded = await consensus.compare_and_set(key, value, version, self._clock())
         return OperatorReport(request_id, {**self._status.report(), "put": succeeded})
--- a/frostfall/net/recovery/readiness_driver.py
+++ b/frostfall/net/recovery/readiness_driver.py
@@ -101,5 +101,5 @@
         inputs, superseded_by = self._core.inputs, self._core.membership.superseded_by
         if superseded_by and not inputs.superseded_reason:
             inputs.superseded_reason = f"life {superseded_by} of this member has begun elsewhere"
-            _log.error("replaced: this agent stops", why=inputs.superseded_reason)
+            _log.error("incarnation superseded", reason=inputs.superseded_reason)
             self._handler.stop()
--- a/frostfall/net/recovery/record_completeness.py
+++ b/frostfall/net/recovery/record_completeness.py
@@ -69,7 +69,7 @@
         # With all directories lost at once, no member is left that could tell that from a first start.
         self._set_reason(IncompleteReason("there was no record: a first start, or a lost folder"))
         self.save()
-        _log.warning("no record: operators have to accept that, or to set `new` in the group's section")
+        _log.warning("record missing", reason=self.detail)
 
     def check_staleness(self) -> None:
         """Record that the directory is older than what other members have seen of it, once one says so."""
@@ -77,14 +77,14 @@
         if not membership.stale_reason or self.reason or not self._core.disk.is_open:
             return
         self._set_reason(IncompleteReason(membership.stale_reason))
-        _log.error("the folder is lost, swapped or old: it proves nothing", why=self.detail)
+        _log.error("record stale", reason=self.detail)
         self.save()
 
     def mark_unreadable(self, error: Exception) -> None:
         """A record of the log cannot be read any more."""
         if not self.reason:
             self._set_reason(IncompleteReason(f"a record cannot be read any more: {error}"))
-            _log.error("the record proves nothing any more", why=self.detail)
+            _log.error("record unreadable", reason=self.detail)
             self._core.changed.notify()
 
     def mark_corrupted(self, detail: str) -> None:
--- a/frostfall/recovery/operation_log.py
+++ b/frostfall/recovery/operation_log.py
@@ -152,7 +152,7 @@
 
     def __init__(
         self,
-        journal: WriteAheadLog,
+        wal: WriteAheadLog,
         find_record: FindRecord,
         retries_marked: bool,
         max_answer_bytes: int = 4096,
@@ -163,7 +163,7 @@
         `retries_marked`: clients mark each attempt after an operation's first as a retry. `replicated`: other
         members hold replicas of intents, and an attempt waits for them.
         """
-        self.journal = journal
+        self._wal = wal
         self.retries_marked = retries_marked
         self._find_record = find_record
         self._max_answer_bytes = max_answer_bytes
@@ -185,7 +185,7 @@
         durable with this incarnation's first write, which begins a segment: see `checkpoint_records`.
         """
         newly_lost = 0
-        for _, location in list(self.journal.index.items()):
+        for _, location in list(self._wal.index.items()):
             segment, offset, state = unpack_location(location)
             if state not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN):
                 continue
@@ -201,7 +201,7 @@
         """Records that a new segment begins with: open operations, and those with a lost outcome."""
         for name, operation in self.in_progress.items():
             # An intent still queued for writing must not be repeated here: its end would replace only one.
-            if 0 < operation.intent_ticket <= self.journal.durable_ticket and operation.end_state is None:
+            if 0 < operation.intent_ticket <= self._wal.durable_ticket and operation.end_state is None:
                 location = self._location(name, operation.key)
                 yield Record(RecordState.OPEN, operation.key, encode_payload(name), location)
         for name in self.lost:
@@ -215,7 +215,7 @@
 
     def _location(self, name: str, key: int) -> int:
         """The packed location of an operation's record; 0 where it has none."""
-        locations = self.journal.find_locations(key)
+        locations = self._wal.find_locations(key)
         if not locations:
             return 0
         if len(locations) == 1:
@@ -262,15 +262,15 @@
         """Append the intent; return the log ticket to wait for before anything is sent."""
         if not operation.intent_ticket:
             record = Record(RecordState.OPEN, operation.key, encode_payload(operation.name))
-            operation.intent_ticket = self.journal.append(record)
+            operation.intent_ticket = self._wal.append(record)
         return operation.intent_ticket
 
     def may_dispatch(self, operation: Operation) -> bool:
         """Whether an attempt may be sent: the intent is durable, and no other member can have run it."""
         return (
             operation.may_dispatch
-            and 0 < operation.intent_ticket <= self.journal.durable_ticket
-            and not self.journal.failure_reason
+            and 0 < operation.intent_ticket <= self._wal.durable_ticket
+            and not self._wal.failure_reason
         )
 
     def is_in_progress(self, operation: Operation) -> bool:
@@ -288,7 +288,7 @@
         if not operation.intent_ticket:
             del self.in_progress[operation.name]
             return 0
-        if operation.intent_ticket <= self.journal.durable_ticket:
+        if operation.intent_ticket <= self._wal.durable_ticket:
             self._append_end(operation, state)
         return operation.end_ticket or operation.intent_ticket
 
@@ -308,7 +308,7 @@
             stored_answer = self._storable(operation.answer)
         data = encode_payload(operation.name, stored_answer)
         location = self._location(operation.name, operation.key)
-        operation.end_ticket = self.journal.append(Record(state, operation.key, data, location))
+        operation.end_ticket = self._wal.append(Record(state, operation.key, data, location))
 
     def _storable(self, answer: bytes | None) -> bytes | None:
         return answer if answer is not None and len(answer) <= self._max_answer_bytes else None
@@ -330,12 +330,12 @@
                 return 0
             self.lost.pop(name, None)
             data = encode_payload(name, answer, age)
-            return self.journal.append(Record(state, key, data, found.location if found else 0))
+            return self._wal.append(Record(state, key, data, found.location if found else 0))
         if found or state is RecordState.FENCED or name in self.lost:
             return 0
         # An open replica is of an earlier incarnation: operations in progress here were skipped above.
         restored = RecordState.OUTCOME_UNKNOWN if state is RecordState.OPEN else RecordState.FAILED
-        return self.journal.append(Record(restored, key, encode_payload(name, b"", age)))
+        return self._wal.append(Record(restored, key, encode_payload(name, b"", age)))
 
     def restore_durable(self, name: str) -> None:
         """A restored operation is durable; one that may have run counts as lost, as after a power loss."""
