--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -1,17 +1,20 @@
-"""Repair in a running agent: reads its own log through, compares with others, takes over what is lacking."""
+"""Drives anti-entropy in a running agent: compares records with peers and restores what is missing here."""
 
 from __future__ import annotations
 
-from collections import defaultdict
 from collections.abc import Callable
+from dataclasses import dataclass
 from itertools import count
 
 import anyio
 
 from frostfall import log
 from frostfall.membership.member_list import MemberList, MemberState
+from frostfall.net.digest_server import ITEMS_PER_SLICE, MAX_BATCH_ITEMS, DigestServer
+from frostfall.net.log_survey import DigestTrees, LogSurvey, ReplicaItem, TreeKey
 from frostfall.net.log_writer import LogWriter
 from frostfall.net.member_transport import MemberConnection
+from frostfall.net.pending_reply import PendingReply
 from frostfall.protocol.member_messages import (
     DIGEST_ENTRIES,
     DIGEST_ITEMS,
@@ -21,50 +24,48 @@
     MemberMessage,
 )
 from frostfall.recovery.metadata import ReplicaAssignment
-from frostfall.recovery.operation_log import (
-    OperationLog,
-    decode_age,
-    decode_answer,
-    decode_name,
-    encode_payload,
-)
+from frostfall.recovery.operation_log import OperationLog
 from frostfall.replication.anti_entropy import MAX_RETRY_DELAY, AntiEntropyScheduler, SyncTask
 from frostfall.replication.digest_tree import (
     DIGEST_STATES,
     EMPTY_TREE,
     DigestQuery,
     DigestState,
-    DigestTree,
     TreeComparison,
-    answer_query,
 )
-from frostfall.replication.replica_store import ReplicaStore, split_replica_name
-from frostfall.storage import segment_codec
-from frostfall.storage.record_index import pack_location, unpack_location
-from frostfall.storage.segment_codec import Record, RecordState, SegmentEnd
+from frostfall.replication.replica_store import ReplicaStore
+from frostfall.storage.segment_codec import RecordState
 from frostfall.storage.write_ahead_log import operation_key
 
-MAX_BATCH_ITEMS = 256  # operations in one answer, which has so many bytes at most, but for the last one's
-MAX_BATCH_BYTES = 256 * 1024
-ITEMS_PER_SLICE = 32  # of them that are read or written before others have a turn
-RECORDS_PER_SLICE = 64  # records that are read through before others have a turn
-SLICE_PAUSE = 0.002  # seconds of that turn at least
-POLL_INTERVAL = 0.25  # seconds between two looks for what is due
-RESPONSE_TIMEOUT = (
-    10.0  # seconds in which a party has to answer; it may have to read its own log through first
-)
-SESSION_IDLE_TIMEOUT = 60.0  # seconds for which a party's session is kept
+POLL_INTERVAL = 0.25  # seconds between two looks for due tasks
+RESPONSE_TIMEOUT = 10.0  # seconds for a peer's reply, which may have to read its whole log first
+SELECTOR_BYTES = 8  # bytes that a key or prefix in a request counts for in the statistics
+ITEM_WIRE_BYTES = 16  # bytes that an item counts for in the statistics, besides its name and answer
+ITEM_DISK_BYTES = 32  # bytes that an item counts for in the rate limit, besides its name and answer
 
 _log = log.get_logger("repair")
-DigestTrees = dict[tuple[str, bool], DigestTree]  # by owner, operations or fences
 
 
 class SyncError(Exception):
-    """A party did not answer as it should; the pair is tried again."""
+    """A task did not come through and is due again later; the message says why."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Selection:
+    """What one request asks a peer for."""
+
+    tree: TreeKey
+    level: int  # DIGEST_SUMS, DIGEST_ENTRIES or DIGEST_ITEMS
+    depth: int
+    selectors: list[int]  # prefixes of nodes, or operation keys
+
+    @classmethod
+    def of_query(cls, tree: TreeKey, query: DigestQuery) -> _Selection:
+        return cls(tree, DIGEST_ENTRIES if query.wants_entries else DIGEST_SUMS, query.depth, query.prefixes)
 
 
 class AntiEntropyDriver:
-    """One agent's rounds, and its answers in those of others."""
+    """One agent's rounds, and its answers to those of others."""
 
     def __init__(
         self,
@@ -79,291 +80,198 @@
         on_restored: Callable[[], None],
         on_corruption: Callable[[str], None],
     ) -> None:
-        """`sure`: whether an owner's record is whole here and this sender's life is on disk.
+        """`is_authoritative`: see `DigestServer`. `lines` has the connections to the other members.
 
-        `restored` is called when all that was lost is back, `rotten` when the log cannot be read any more.
+        `on_restored` is called when all incomplete records are complete again, `on_corruption` when a segment
+        of the log cannot be read any more.
         """
-        self.scheduler, self._disk, self._ledger, self._holding = scheduler, disk, ledger, store
-        self._members, self._lines, self._steady, self._sure = members, lines, monotonic, is_authoritative
-        self._restored, self._rotten = on_restored, on_corruption
-        self._sessions: dict[str, tuple[tuple[str, int], float, DigestTrees]] = {}  # by sender
-        self._numbers = count(1)
-        self._reading = anyio.Lock()
-        self._lives: dict[str, str] = {}  # with which life of each party something has been compared
-        self.restored_operations = self.received_bytes = 0  # operations and bytes that were brought here
-        self._rot: set[int] = set()  # segments that are to leave
-        self._due = 0.0  # when all is compared next
+        self.scheduler = scheduler
+        self._disk = disk
+        self._operation_log = ledger
+        self._store = store
+        self._members = members
+        self._connections = lines
+        self._monotonic = monotonic
+        self._on_restored = on_restored
+        self._survey = LogSurvey(disk, on_corruption)
+        self._server = DigestServer(self._survey, members, monotonic, is_authoritative)
+        self._session_numbers = count(1)
+        self._scheduled_tokens: dict[str, str] = {}  # by peer: the incarnation it was last scheduled for
+        self._next_round = 0.0  # seconds of the monotonic clock
+        self.restored_operations = 0
+        self.received_bytes = 0
 
     def assignment(self) -> ReplicaAssignment:
-        """What to write down of whose records are whole here."""
+        """Return the metadata record of whose records are complete here."""
         return ReplicaAssignment(self.scheduler.complete_owners, sorted(self.scheduler.zones))
 
-    # ---- what is on disk here -------------------------------------------------------------------------
-
-    async def _survey(self) -> DigestTrees:
-        """All operations that count, from the log itself, in turns; its checksums are looked at on the way.
-
-        What was on disk when this began is in it, also where it was written anew meanwhile.
-        """
-        found: dict[tuple[str, bool], dict[int, int]] = defaultdict(dict)
-        journal, number = self._disk.wal, 0
-        async with self._reading:
-            while later := [each for each in journal.segment_numbers if each > number]:
-                number = later[0]
-                await self._survey_one(number, found)
-        return {key: await self._disk.run_blocking(DigestTree, places) for key, places in found.items()}
-
-    async def _survey_one(self, number: int, found: dict[tuple[str, bool], dict[int, int]]) -> None:
-        journal, keep = self._disk.wal, self._disk.wal.options.keep
-        size, last, batch = (
-            journal.segment_size(number),
-            number == journal.segment_numbers[-1],
-            journal.last_durable_batch,
-        )
-        try:
-            raw = await self._disk.read_range(number, 0, size)
-        except OSError as error:
-            if journal.segment_size(number):
-                self._spoilt(number, 0, str(error))
-            return  # it has left meanwhile
-        seen, segment = 0, segment_codec.SegmentScan()
-        for state, key, _, offset, data in segment_codec.iter_records(raw, last, segment):
-            if (seen := seen + 1) % RECORDS_PER_SLICE == 0:
-                await anyio.sleep(SLICE_PAUSE)
-            if state == RecordState.METADATA or not journal.is_current(
-                key, place := pack_location(number, offset, RecordState(state))
-            ):
-                continue
-            text = bytes(data)
-            owner, name = split_replica_name(decode_name(text))
-            ended = RecordState(state) not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
-            if ended and self._age(number, text) >= keep:
-                continue  # it is about to leave here, and must not live for ever by going round
-            found[owner or self._disk.wal.owner, state == RecordState.FENCED][operation_key(name)] = place
-        # Danger: a tail that seems torn was whole once where the batches that are on disk do not all stand.
-        bad = segment.end is SegmentEnd.CORRUPTED or (last and segment.last_batch < batch)
-        if bad and journal.segment_size(number):
-            self._spoilt(number, segment.valid_bytes, segment.reason)
-
-    def _age(self, segment: int, data: bytes) -> float:
-        """Seconds of running that a record there is old at most, also where it was brought."""
-        return self._disk.wal.max_record_age(segment, self._disk.elapsed_seconds) + decode_age(data)
-
-    def _spoilt(self, number: int, offset: int, why: str) -> None:
-        lost = self._disk.wal.discard_unreadable(number, offset)
-        if number not in self._rot:
-            self._rot.add(number)
-            _log.error("the disk has changed what was written", segment=number, why=why, operations=lost)
-            self._rotten(f"segment {number}: {why}")
-
-    async def _leave_rot(self) -> None:
-        """Write what counts in segments up to a rotten one anew, and let them leave."""
-        journal, until = self._disk.wal, max(self._rot)
-        _log.info("segments are written anew", up_to=until)
-        ticket = 0
-        for _, place in list(journal.index.items()):
-            segment, offset, state = unpack_location(place)
-            if segment > until or state in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN):
-                continue  # every new segment begins with these
-            record = self._disk.read_record(segment, offset)
-            if record and journal.is_current(record[1], place):
-                text = record[2]
-                again = encode_payload(
-                    decode_name(text), decode_answer(text), max(int(self._age(segment, text)), 1)
-                )
-                ticket = journal.append(Record(state, record[1], again, place))
-                self._disk.wake()
-                if ticket % RECORDS_PER_SLICE == 0 and not await self._disk.wait_durable(ticket):
-                    return
-        if await self._disk.wait_durable(ticket):
-            journal.retire_through(until)
-            while min(journal.segment_numbers) <= until and not journal.failure_reason:
-                self._disk.wake()
-                await anyio.sleep(POLL_INTERVAL)
-            self._rot.clear()
-            _log.info("rotten segments have left", up_to=until)
-
-    # ---- answers ---------------------------------------------------------------------------------------
-
     async def handle_compare(self, message: DigestRequest) -> MemberMessage:
-        """Answer a party's question."""
-        # Danger: asked only once its life is on disk here, all that this member does from now on counts no
-        # acknowledgement of an earlier one; so what is read below is all that can rest on such.
-        sure, now = self._sure(message.owner, message.sender, message.incarnation_token), self._steady()
-        known = self._sessions.get(message.sender)
-        self._sessions = {
-            name: each for name, each in self._sessions.items() if now - each[1] < SESSION_IDLE_TIMEOUT
-        }
-        # Danger: sessions are counted anew in each life, and what was read for an earlier one is too old.
-        if known is None or known[0] != (message.incarnation_token, message.session):
-            known = (message.incarnation_token, message.session), now, await self._survey()
-        self._sessions[message.sender] = known[0], self._steady(), known[2]
-        catalogue = known[2].get((message.owner, message.compare_fences), EMPTY_TREE)
-        data, items = b"", list[tuple[int, str, bytes | None, int]]()
-        if message.level == DIGEST_ITEMS:
-            seen = size = 0
-            for key in message.selectors[:MAX_BATCH_ITEMS]:
-                found = self._item(catalogue.location(key))
-                items += found
-                seen, size = seen + 1, size + sum(len(given or b"") for _, _, given, _ in found)
-                if size >= MAX_BATCH_BYTES:
-                    break
-                if seen % ITEMS_PER_SLICE == 0:
-                    await anyio.sleep(0)
-            data = seen.to_bytes(4, "little")
-        else:
-            data = answer_query(
-                catalogue, DigestQuery(message.level == DIGEST_ENTRIES, message.depth, message.selectors)
-            )
-        sure = sure and self._sure(message.owner, message.sender, message.incarnation_token)
-        return DigestReply(message.request_id, sure, self._members.incarnation_token, data, items)
-
-    def _item(self, place: int) -> list[tuple[int, str, bytes | None, int]]:
-        if not place:
-            return []
-        journal, (segment, offset, state) = self._disk.wal, unpack_location(place)
-        record = self._disk.read_record(segment, offset)
-        if record is None or not journal.is_current(record[1], place):
-            return []  # it has moved since: the next round has it
-        ended = state not in (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
-        aged = int(self._age(segment, record[2])) if ended else 0
-        return [(state, split_replica_name(decode_name(record[2]))[1], decode_answer(record[2]), aged)]
+        """Answer a peer's request."""
+        return await self._server.answer(message)
 
     # ---- rounds ----------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Compare at the start, when a party comes back, and once a round; for good."""
+        """Compare at the start, when a peer comes back, and once every `round` seconds; for good."""
         while True:
             try:
-                await self._turn()
+                await self._run_due()
             except Exception:
-                # Danger: one record that cannot be read must end neither the rounds nor the agent.
-                _log.exception("round failed")
+                # A record that cannot be read must end neither anti-entropy nor the agent.
+                _log.exception("anti-entropy round failed")
                 await anyio.sleep(MAX_RETRY_DELAY)
             await anyio.sleep(POLL_INTERVAL)
 
-    async def _turn(self) -> None:
-        repair, now, peers = self.scheduler, self._steady(), self._members.peers
-        if now >= self._due:
-            self._due = now + repair.options.round
-            repair.schedule(now)
-            if not repair.peers_of(repair.own_name):
-                await self._survey()  # nobody to compare with: the checksums are looked at all the same
-        here = {name for name in self._lines if peers[name].state is MemberState.ALIVE}
-        repair.update_unavailable(now, set(peers) - here)
-        for name in here:
-            if self._lives.get(name) != (token := peers[name].recorded_incarnation.token):
-                self._lives[name] = token
-                repair.schedule(now, name)
-        if pairs := repair.due_tasks(now, here):
-            await self._round(pairs)
-        if repair.all_restored:
-            self._restored()
-        if self._rot and not repair.incomplete_owners:
-            await self._leave_rot()
-
-    async def _round(self, pairs: list[SyncTask]) -> None:
-        own, session = await self._survey(), next(self._numbers)
-        before, size, began = self.restored_operations, self.received_bytes, self._steady()
-        for pair in pairs:
-            good = sure = False
+    async def _run_due(self) -> None:
+        now = self._monotonic()
+        if now >= self._next_round:
+            self._next_round = now + self.scheduler.options.round
+            self.scheduler.schedule(now)
+            if not self.scheduler.peers_of(self.scheduler.own_name):
+                await self._survey.digest_trees()  # without peers, checksums are verified all the same
+        available = self._update_members(now)
+        if tasks := self.scheduler.due_tasks(now, available):
+            await self._run_tasks(tasks)
+        if self.scheduler.all_restored:
+            self._on_restored()
+        if self._survey.found_corruption and not self.scheduler.incomplete_owners:
+            await self._survey.rewrite_corrupted()
+
+    def _update_members(self, now: float) -> set[str]:
+        """Tell the scheduler who is available, and schedule peers that are in a new incarnation."""
+        peers = self._members.peers
+        available = {name for name in self._connections if peers[name].state is MemberState.ALIVE}
+        self.scheduler.update_unavailable(now, set(peers) - available)
+        for name in available:
+            token = peers[name].recorded_incarnation.token
+            if self._scheduled_tokens.get(name) != token:
+                self._scheduled_tokens[name] = token
+                self.scheduler.schedule(now, name)
+        return available
+
+    async def _run_tasks(self, tasks: list[SyncTask]) -> None:
+        trees = await self._survey.digest_trees()
+        session = next(self._session_numbers)
+        operations_before, bytes_before = self.restored_operations, self.received_bytes
+        started_at = self._monotonic()
+        for task in tasks:
+            succeeded = authoritative = False
             try:
-                sure = await self._take_over(pair, own, session)
-                good = True
+                authoritative = await self._sync(task, trees, session)
+                succeeded = True
             except SyncError as error:
-                _log.info("not compared", owner=pair.owner, party=pair.peer, why=str(error))
-            self.scheduler.record_result(pair, self._steady(), succeeded=good, authoritative=sure)
-        if self.restored_operations > before:
+                _log.info("sync failed", owner=task.owner, peer=task.peer, reason=str(error))
+            self.scheduler.record_result(
+                task, self._monotonic(), succeeded=succeeded, authoritative=authoritative
+            )
+        if self.restored_operations > operations_before:
             _log.info(
-                "taken over",
-                operations=self.restored_operations - before,
-                bytes=self.received_bytes - size,
-                seconds=round(self._steady() - began, 3),
+                "replicas restored",
+                operations=self.restored_operations - operations_before,
+                bytes=self.received_bytes - bytes_before,
+                seconds=round(self._monotonic() - started_at, 3),
             )
 
-    async def _take_over(self, pair: SyncTask, own: DigestTrees, session: int) -> bool:
-        """Take what a party has of an owner's record and this member lacks; whether the party was sure."""
-        sure = True
+    # ---- one task --------------------------------------------------------------------------------------
+
+    async def _sync(self, task: SyncTask, trees: DigestTrees, session: int) -> bool:
+        """Restore what a peer has of an owner's record and this member lacks; whether the peer knew all."""
+        authoritative = True
         for fences in (False, True):
-            if fences and pair.owner in (pair.peer, self.scheduler.own_name):
-                continue  # an owner has none
-            mine, had = own.get((pair.owner, fences), EMPTY_TREE), dict[int, RecordState]()
-            comparison = TreeComparison(mine)
-            while question := comparison.next_query():
-                what = DIGEST_ENTRIES if question.wants_entries else DIGEST_SUMS
-                told = await self._ask(pair, fences, what, question.depth, question.prefixes, session)
-                sure = sure and told.authoritative
-                try:
-                    comparison.handle_response(question, told.data)
-                except ValueError as error:
-                    raise SyncError(str(error)) from None
-            keys = comparison.missing_keys
-            while keys:
-                told = await self._ask(pair, fences, DIGEST_ITEMS, 0, keys[:MAX_BATCH_ITEMS], session)
-                sure, seen = sure and told.authoritative, int.from_bytes(told.data, "little")
-                if not 0 < seen <= MAX_BATCH_ITEMS:
-                    raise SyncError("no items")
-                keys = keys[seen:]
-                await self._restore(pair.owner, told, had)
-            if had:  # so that the next party's sums are not asked for all over again
-                own[pair.owner, fences] = await self._disk.run_blocking(mine.with_added, had)
-        return sure
-
-    async def _ask(
-        self, pair: SyncTask, fences: bool, what: int, depth: int, asked: list[int], session: int
-    ) -> DigestReply:
-        told: list[MemberMessage | None] = []
-        came = anyio.Event()
-
-        def take(message: MemberMessage | None) -> None:
-            told.append(message)
-            came.set()
-
-        self._lines[pair.peer].request(
-            lambda number: DigestRequest(
-                number,
-                pair.owner,
-                fences,
-                what,
-                depth,
-                asked,
+            if fences and task.owner in (task.peer, self.scheduler.own_name):
+                continue  # an owner has no fences against itself
+            key = TreeKey(task.owner, fences)
+            authoritative &= await self._sync_tree(task, key, trees, session)
+        return authoritative
+
+    async def _sync_tree(self, task: SyncTask, key: TreeKey, trees: DigestTrees, session: int) -> bool:
+        own_tree = trees.get(key, EMPTY_TREE)
+        comparison = TreeComparison(own_tree)
+        authoritative = True
+        while query := comparison.next_query():
+            reply = await self._request(task, _Selection.of_query(key, query), session)
+            authoritative &= reply.authoritative
+            try:
+                comparison.handle_response(query, reply.data)
+            except ValueError as error:
+                raise SyncError(str(error)) from None
+        restored: dict[int, RecordState] = {}
+        keys = comparison.missing_keys
+        while keys:
+            selection = _Selection(key, DIGEST_ITEMS, 0, keys[:MAX_BATCH_ITEMS])
+            reply = await self._request(task, selection, session)
+            authoritative &= reply.authoritative
+            handled = int.from_bytes(reply.data, "little")
+            if not 0 < handled <= MAX_BATCH_ITEMS:
+                raise SyncError("no items")
+            keys = keys[handled:]
+            await self._restore(task.owner, [ReplicaItem(*item) for item in reply.items], restored)
+        if restored:  # so that the next peer's digests are not requested all over again
+            trees[key] = await self._disk.run_blocking(own_tree.with_added, restored)
+        return authoritative
+
+    async def _request(self, task: SyncTask, selection: _Selection, session: int) -> DigestReply:
+        """Send a request to a task's peer; SyncError without a reply of its present incarnation."""
+
+        def request(request_id: int) -> DigestRequest:
+            return DigestRequest(
+                request_id,
+                task.owner,
+                selection.tree.fences,
+                selection.level,
+                selection.depth,
+                selection.selectors,
                 self._members.own_name,
                 self._members.incarnation_token,
                 session,
-            ),
-            take,
-        )
+            )
+
+        pending = PendingReply()
+        self._connections[task.peer].request(request, pending.resolve)
+        reply: MemberMessage | None = None
         with anyio.move_on_after(RESPONSE_TIMEOUT):
-            await came.wait()
-        if not told or not isinstance(told[0], DigestReply):
+            reply = await pending.wait()
+        if not isinstance(reply, DigestReply):
             raise SyncError("no answer")
-        if told[0].incarnation_token != self._members.peers[pair.peer].recorded_incarnation.token:
-            raise SyncError("another life of it answered")
-        told_bytes = sum(len(name) + len(given or b"") + 16 for _, name, given, _ in told[0].items)
-        self.received_bytes += len(told[0].data) + told_bytes + 8 * len(asked)
-        return told[0]
-
-    async def _restore(self, owner: str, told: DigestReply, had: dict[int, RecordState]) -> None:
-        ticket, size, maybe = 0, 0, list[str]()
-        for place, (state, name, given, aged) in enumerate(told.items, 1):
-            if place % ITEMS_PER_SLICE == 0:
+        if reply.incarnation_token != self._members.peers[task.peer].recorded_incarnation.token:
+            raise SyncError("another incarnation answered")
+        self.received_bytes += len(reply.data) + SELECTOR_BYTES * len(selection.selectors)
+        for _, name, answer, _ in reply.items:
+            self.received_bytes += len(name) + len(answer or b"") + ITEM_WIRE_BYTES
+        return reply
+
+    async def _restore(self, owner: str, items: list[ReplicaItem], restored: dict[int, RecordState]) -> None:
+        """Write items to this member's log and wait until they are on disk, at the rate that is set.
+
+        `restored` receives their states by key.
+        """
+        last_ticket = size = 0
+        may_have_run: list[str] = []
+        for position, item in enumerate(items, 1):
+            if position % ITEMS_PER_SLICE == 0:
                 self._disk.wake()
                 await anyio.sleep(0)
-            mark = DIGEST_STATES[RecordState(state)]
-            if owner == self._disk.wal.owner:
-                new = self._ledger.restore_from_replica(RecordState(state), name, given, aged)
-                if new and mark is DigestState.MAY_HAVE_RUN:
-                    maybe.append(name)
-            else:
-                new = self._holding.restore(owner, RecordState(state), name, given, aged)
-            if new is None:
-                raise SyncError(f"{name} is under way here")
-            had[operation_key(name)] = RecordState(state)
-            ticket, self.restored_operations = max(ticket, new), self.restored_operations + (new > 0)
-            size += len(name) + len(given or b"") + 32
+            state = RecordState(item.state)
+            digest_state = DIGEST_STATES[state]
+            ticket = self._restore_item(owner, item)
+            if ticket is None:
+                raise SyncError(f"{item.operation} is in progress here")
+            if owner == self._disk.wal.owner and ticket and digest_state is DigestState.MAY_HAVE_RUN:
+                may_have_run.append(item.operation)
+            restored[operation_key(item.operation)] = state
+            last_ticket = max(last_ticket, ticket)
+            self.restored_operations += ticket > 0
+            size += len(item.operation) + len(item.answer or b"") + ITEM_DISK_BYTES
         self._disk.wake()
-        if not await self._disk.wait_durable(ticket):
+        if not await self._disk.wait_durable(last_ticket):
             raise SyncError("the disk has failed here")
-        for name in maybe:
-            self._ledger.restore_durable(name)
+        for operation in may_have_run:
+            self._operation_log.restore_durable(operation)
         await anyio.sleep(size / self.scheduler.options.rate)
+
+    def _restore_item(self, owner: str, item: ReplicaItem) -> int | None:
+        """Write an item where it is missing; the ticket to wait for, 0 for no change, None: not now."""
+        state = RecordState(item.state)
+        if owner == self._disk.wal.owner:
+            return self._operation_log.restore_from_replica(state, item.operation, item.answer, item.age)
+        return self._store.restore(owner, state, item.operation, item.answer, item.age)
--- a/frostfall/replication/digest_tree.py
+++ b/frostfall/replication/digest_tree.py
@@ -167,13 +167,13 @@
         or any(not 0 <= prefix < FANOUT**query.depth for prefix in query.prefixes)
     ):
         raise ValueError("not a node of the tree")
-    parts: list[bytes] = []
+    encoded: list[bytes] = []
     for node in query.nodes:
         if query.wants_entries:
-            parts += [_encode_entry(entry) for entry in tree.entries(node)]
+            encoded += [_encode_entry(entry) for entry in tree.entries(node)]
         else:
-            parts += [_encode_child(child) for child in tree.children(node)]
-    return b"".join(parts)
+            encoded += [_encode_child(child) for child in tree.children(node)]
+    return b"".join(encoded)
 
 
 def _encode_entry(entry: DigestEntry) -> bytes:
