--- a/frostfall/bench/schedules.py
+++ b/frostfall/bench/schedules.py
@@ -21,12 +21,12 @@
     events = play(schedule)
     found = check(History(events))
     stuck = _stuck_members(schedule, events)
-    lost = _lost_answers(schedule, events) if schedule.replicas else []
+    lost = _lost_answers(schedule, events) if schedule.replication else []
     return [*found.twice, *found.answers, *found.promises, *found.rules, *stuck, *lost]
 
 
 def _stuck_members(schedule: Schedule, events: list[Event]) -> list[str]:
-    waits_for_operators = schedule.replicas and len(_members_without_disk(schedule)) > 1
+    waits_for_operators = schedule.replication and len(_members_without_disk(schedule)) > 1
     return [
         f"{event['who']} is stuck: {event['why']}"
         for event in events
--- a/frostfall/model/member_config.py
+++ b/frostfall/model/member_config.py
@@ -49,15 +49,16 @@
         "key": "the model's own shared key",
         "operation": "op",
         "new": new_group,
-        "retries_marked": schedule.retries_marked,
+        "retries_marked": schedule.marks_retries,
         "members": [
             {"name": member, "address": f"127.0.0.1:{FIRST_PORT + index}"}
             for index, member in enumerate(member_names(schedule.member_count))
         ],
         "store": {"segment_bytes": SEGMENT_BYTES, "folder_bytes": FOLDER_BYTES, "keep": KEEP_SECONDS},
     }
-    if schedule.replicas:
-        group["copies"] = msgspec.structs.asdict(schedule.replicas)
+    if schedule.replication:
+        factor = schedule.replication
+        group["copies"] = {"kept": factor.replicas, "acknowledged": factor.acknowledged}
     raw = {
         "name": name,
         "listen": "127.0.0.1:9999",
--- a/frostfall/model/schedule.py
+++ b/frostfall/model/schedule.py
@@ -66,10 +66,10 @@
     service_time: float = msgspec.field(default=0.0, name="slow")  # seconds that its server takes
 
 
-class ReplicaCounts(msgspec.Struct, frozen=True, array_like=True):
+class ReplicationFactor(msgspec.Struct, frozen=True, array_like=True):
     """How often a record is replicated."""
 
-    kept: int
+    replicas: int
     acknowledged: int  # before an answer counts
 
 
@@ -80,8 +80,8 @@
     member_count: int = msgspec.field(name="members")
     operations: tuple[Operation, ...]
     faults: tuple[Fault, ...]
-    retries_marked: bool = msgspec.field(default=True, name="marked")
-    replicas: ReplicaCounts | None = msgspec.field(default=None, name="copies")
+    marks_retries: bool = msgspec.field(default=True, name="marked")
+    replication: ReplicationFactor | None = msgspec.field(default=None, name="copies")
 
 
 def draw_schedule(seed: int, replicated: bool = False) -> Schedule:
@@ -97,7 +97,7 @@
         tuple(sorted(operations, key=lambda operation: operation.at)),
         tuple(sorted(faults, key=lambda fault: fault.at)),
         rng.random() < 0.7,
-        _draw_replica_counts(rng, member_count) if replicated else None,
+        _draw_replication_factor(rng, member_count) if replicated else None,
     )
 
 
@@ -127,7 +127,7 @@
     return Fault(at, kind, members, duration=duration, disk_step=rng.randint(1, MAX_DISK_STEPS))
 
 
-def _draw_replica_counts(rng: random.Random, member_count: int) -> ReplicaCounts:
+def _draw_replication_factor(rng: random.Random, member_count: int) -> ReplicationFactor:
     if member_count <= 3:
-        return ReplicaCounts(2, 1)
-    return rng.choice((ReplicaCounts(2, 1), ReplicaCounts(3, 2)))
+        return ReplicationFactor(2, 1)
+    return rng.choice((ReplicationFactor(2, 1), ReplicationFactor(3, 2)))
