--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -14,7 +14,7 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall import settings as decoder
-from frostfall.keylines import line_of, steps
+from frostfall.json5_locations import line_of, steps
 from frostfall.options import Options
 from frostfall.protocol import news
 from frostfall.protocol.listing import Listing
--- a/frostfall/wirehost/codec.py
+++ b/frostfall/simulator/codec.py
@@ -8,7 +8,7 @@
 
 from frostfall import interface as api
 from frostfall.settings import load
-from frostfall.wirehost import messages as wire
+from frostfall.simulator import messages as wire
 
 _LINE: msgspec.json.Decoder[wire.Line] = msgspec.json.Decoder(wire.Line)
 _T = TypeVar("_T")
--- a/frostfall/wirehost/host.py
+++ b/frostfall/simulator/host.py
@@ -7,8 +7,8 @@
 from frostfall import interface as api
 from frostfall.engine.policy_engine import PolicyEngine
 from frostfall.settings import SettingsError, decode
-from frostfall.wirehost import codec
-from frostfall.wirehost import messages as wire
+from frostfall.simulator import codec
+from frostfall.simulator import messages as wire
 
 FINISHED = b'{"verb":"finished"}\n'
 
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -22,7 +22,7 @@
 from frostfall.mechanisms.sequential_test import GossipMessage, RoundTotals
 from frostfall.protocol import entries, listing, member_messages, news, pg, pg_client, pg_server, rpc
 from frostfall.shared_health import message_codec
-from frostfall.wirehost import codec, host, messages
+from frostfall.simulator import codec, host, messages
 from tests.golden import plain, variant
 
 FOLDER = Path(__file__).parent / "fixtures" / "wire"
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -9,7 +9,7 @@
 
 from frostfall import config
 from frostfall.cli import main
-from frostfall.keylines import line_of, steps
+from frostfall.json5_locations import line_of, steps
 from frostfall.limits.options import SlowPeerOptions
 from frostfall.options import Options
 from tests.standins import configured
