--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -14,7 +14,7 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall import settings as decoder
-from frostfall.json5_locations import line_of, steps
+from frostfall.json5_locations import find_line, parse_path
 from frostfall.options import Options
 from frostfall.protocol import news
 from frostfall.protocol.listing import Listing
@@ -129,16 +129,16 @@
 def _at(text: str, message: str) -> tuple[int, str, str]:
     """The line, the key and what is wrong with it, of a message that msgspec words."""
     what, _, path = message.partition(" - at `")
-    way = list(steps(path.rstrip("`")))
+    way = list(parse_path(path.rstrip("`")))
     inner, colon, rest = what.partition(": ")
     if field := re.search(r"(unknown )?field `([^`]*)`", what):
         way.append(field[2])
-        line, what = line_of(text, tuple(way)), "is no key here" if field[1] else "is missing"
+        line, what = find_line(text, tuple(way)), "is no key here" if field[1] else "is missing"
     elif colon and inner.isidentifier():  # a check of our own names the key first
         way.append(inner)
-        line, what = line_of(text, tuple(way)), rest
+        line, what = find_line(text, tuple(way)), rest
     else:
-        line = line_of(text, tuple(way))
+        line = find_line(text, tuple(way))
     return line, ".".join(way) or "the file", what
 
 
--- a/frostfall/json5_locations.py
+++ b/frostfall/json5_locations.py
@@ -1,59 +1,81 @@
-"""Where a key stands in a JSON5 text that has already been read: the line, for messages that name it."""
+"""Finds the line of a key in a JSON5 text that has already been parsed, for messages that name the key."""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Iterator
+from dataclasses import dataclass
 
 _TOKEN = re.compile(
     r"""
     (?P<skip>\s+|//[^\n]*|/\*.*?\*/)
-  | (?P<text>"(?:\\.|[^"\\])*"|'(?:\\.|[^'\\])*')
-  | (?P<mark>[{}\[\]:,])
+  | (?P<string>"(?:\\.|[^"\\])*"|'(?:\\.|[^'\\])*')
+  | (?P<punctuation>[{}\[\]:,])
   | (?P<word>[^\s{}\[\]:,"'/]+)
 """,
     re.VERBOSE | re.DOTALL,
 )
-_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
+_PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
+_ANY_STEP = "..."
 
 
-def steps(path: str) -> tuple[str, ...]:
-    """The steps of a path such as `$.a.b[2]`, each as text."""
-    return tuple(name or place for name, place in _STEP.findall(path))
+@dataclass(frozen=True, slots=True)
+class _Key:
+    """A key of an object, with the keys and array indices that lead to it from the root."""
 
+    path: tuple[str, ...]
+    offset: int  # characters from the start of the text
 
-def line_of(text: str, path: tuple[str, ...]) -> int:
-    """The line, from 1, on which this path's last step stands, or as far as the path is found.
 
-    A step `...` stands for any key or place: the first that fits is taken.
+def parse_path(path: str) -> tuple[str, ...]:
+    """The steps of a path as msgspec writes it, `$.a.b[2]`; array indices are text too."""
+    return tuple(name or index for name, index in _PATH_STEP.findall(path))
+
+
+def find_line(text: str, path: tuple[str, ...]) -> int:
+    """The line, from 1, of the key at `path`, or of its innermost enclosing key that is in the text.
+
+    A step `...` matches any key or index; the first match counts. Without any match the line is 1.
     """
-    here: list[str] = []  # the keys and places on the way to where the scan stands
-    kinds: list[str] = []
-    best, found, pending, at = 1, 0, "", 0
-    while at < len(text) and (match := _TOKEN.match(text, at)):
-        start, at = at, match.end()
-        token = match[0]
-        if match["skip"] is not None:
-            continue
-        if token in "{[":
-            kinds.append(token)
-            here.append("0" if token == "[" else "")
-        elif token in "}]":
-            if kinds:
-                kinds.pop()
-                here.pop()
-        elif token == ",":
-            if kinds and kinds[-1] == "[":
-                here[-1] = str(int(here[-1]) + 1)
-        elif token == ":" and kinds and kinds[-1] == "{":
-            here[-1] = pending
-        else:
-            pending = token[1:-1] if match["text"] is not None else token
-            ahead = _TOKEN.match(text, at)
-            while ahead and ahead["skip"] is not None:
-                ahead = _TOKEN.match(text, ahead.end())
-            if not (kinds and kinds[-1] == "{" and ahead and ahead[0] == ":"):
-                continue
-            way = (*here[:-1], pending)
-            if found < len(way) <= len(path) and all(want in (step, "...") for want, step in zip(path, way)):
-                best, found = text.count("\n", 0, start) + 1, len(way)
-    return best
+    line, depth = 1, 0
+    for key in _keys(text):
+        if depth < len(key.path) <= len(path) and _is_prefix(key.path, path):
+            line = text.count("\n", 0, key.offset) + 1
+            depth = len(key.path)
+    return line
+
+
+def _is_prefix(key_path: tuple[str, ...], path: tuple[str, ...]) -> bool:
+    return all(wanted in (step, _ANY_STEP) for wanted, step in zip(path, key_path))
+
+
+def _keys(text: str) -> Iterator[_Key]:
+    """All keys of all objects, in the order of the text."""
+    path: list[str | int] = []  # one step for each enclosing container: an object's key or an array's index
+    tokens = list(_tokens(text))
+    for token, following in zip(tokens, [*tokens[1:], None]):
+        match token["punctuation"]:
+            case "{":
+                path.append("")
+            case "[":
+                path.append(0)
+            case "}" | "]":
+                if path:
+                    path.pop()
+            case ",":
+                if path and isinstance(path[-1], int):
+                    path[-1] += 1
+            case None:
+                is_key = following is not None and following["punctuation"] == ":"
+                if is_key and path and isinstance(path[-1], str):
+                    path[-1] = token[0] if token["string"] is None else token[0][1:-1]
+                    yield _Key(tuple(str(step) for step in path), token.start())
+
+
+def _tokens(text: str) -> Iterator[re.Match[str]]:
+    """The tokens without whitespace and comments, up to the first character that begins none."""
+    offset = 0
+    while match := _TOKEN.match(text, offset):
+        offset = match.end()
+        if match["skip"] is None:
+            yield match
