--- a/frostfall/cli.py
+++ b/frostfall/cli.py
@@ -288,7 +288,7 @@
 
     from frostfall.net import member_transport as link
     from frostfall.net.streams import STREAM_ERRORS
-    from frostfall.protocol.member_messages import MemberProtocolError
+    from frostfall.protocol.authenticated_channel import MemberProtocolError
 
     shared, members = _members(operator, ())
     why = "nobody leads"
@@ -313,7 +313,7 @@
 
     from frostfall.net import member_transport as link
     from frostfall.net.streams import STREAM_ERRORS
-    from frostfall.protocol.member_messages import MemberProtocolError
+    from frostfall.protocol.authenticated_channel import MemberProtocolError
 
     key, members = _members(operator, who)
     missing = 0
--- a/frostfall/net/member_transport.py
+++ b/frostfall/net/member_transport.py
@@ -16,14 +16,12 @@
 from frostfall import log
 from frostfall.config import Address
 from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_listener, open_stream
+from frostfall.protocol.authenticated_channel import NONCE_BYTES, AuthenticatedChannel, MemberProtocolError
 from frostfall.protocol.member_messages import (
-    NONCE_BYTES,
-    AuthenticatedChannel,
     EndpointListReply,
     EndpointListRequest,
     Heartbeat,
     MemberMessage,
-    MemberProtocolError,
     OperatorCommand,
     OperatorReport,
     StatusQuery,
