--- a/frostfall/net/member_transport.py
+++ b/frostfall/net/member_transport.py
@@ -1,4 +1,4 @@
-"""The link to the other members of the group: one connection to each, one listener for theirs."""
+"""Transport between members of the group: a connection to each other member, and a listener for theirs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from itertools import count
 from time import monotonic
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 from anyio.abc import TaskGroup
@@ -18,6 +18,7 @@
 from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_listener, open_stream
 from frostfall.protocol.authenticated_channel import NONCE_BYTES, AuthenticatedChannel, MemberProtocolError
 from frostfall.protocol.member_messages import (
+    ConsensusMessage,
     EndpointListReply,
     EndpointListRequest,
     Heartbeat,
@@ -28,34 +29,50 @@
     StatusReply,
 )
 
-HANDSHAKE_TIMEOUT = 2.0  # seconds in which whoever connects has to show that it has the key
-MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = 0.05, 0.4  # seconds between two tries to reach a member
-MIN_IDLE_WAIT = 0.02  # seconds between two looks while there is no word to give
-MAX_UNANSWERED_HEARTBEATS = 10  # words without an answer after which a connection is dialled anew
-CONNECTIONS_PER_MEMBER = (
-    4  # connections taken in for each member: its own, an old one that hangs, and operators
-)
+HANDSHAKE_TIMEOUT = 2.0  # seconds for the other side to prove that it has the key
+MIN_RECONNECT_DELAY = 0.05  # seconds
+MAX_RECONNECT_DELAY = 0.4  # seconds
+MIN_IDLE_WAIT = 0.02  # seconds between two rounds while there is no heartbeat to send
+MAX_UNANSWERED_HEARTBEATS = 10  # before a connection is closed and opened again
+# Connections accepted for each member: its own, an old one that hangs, and operators'.
+CONNECTIONS_PER_MEMBER = 4
 
 _log = log.get_logger("group")
+
 Response = MemberMessage | None | Awaitable[MemberMessage]
 
 
 @dataclass(slots=True)
 class PeerOperationStatus:
-    """A word on an operation and its answer, and what the teller has on disk of the others' lives."""
+    """What another member knows of an operation."""
 
-    status: str
+    status: str  # value of an OperationStatus
     answer: bytes | None
-    incarnation_token: str
-    recorded_tokens: dict[str, str]
+    incarnation_token: str  # of that member
+    recorded_tokens: dict[str, str]  # incarnation tokens that it has on disk of all other members
+
+
+# Called with None where the connection ends before the reply.
+StatusCallback = Callable[[PeerOperationStatus | None], None]
+ReplyCallback = Callable[[MemberMessage | None], None]
+
+
+class _PendingRequest(NamedTuple):
+    make_request: Callable[[int], MemberMessage]
+    on_reply: ReplyCallback
 
 
-def _nothing(listing: Any) -> None:
-    """Nobody waits for a list."""
+class _StatusWaiters(NamedTuple):
+    operation: str
+    callbacks: list[StatusCallback]
+
+
+def _ignore_endpoint_list(endpoint_list: Any) -> None:
+    """Drop a list that nobody has asked for."""
 
 
 class MemberConnection:
-    """The connection to one member: a word every turn, and questions as they come up."""
+    """Connection to one member: sends heartbeats and requests, and receives their replies."""
 
     def __init__(
         self,
@@ -67,179 +84,193 @@
         on_heartbeat: Callable[[Heartbeat], None],
         identity: Callable[[], tuple[str, str]],
     ) -> None:
-        """Dial this member; `beat` gives the word for it, or None while there is none to give.
+        """Nothing is sent before `run`.
 
-        `who` gives one's own name and the token of one's life.
+        `heartbeat_interval` is in seconds. `make_heartbeat` returns the heartbeat for this member, or None
+        while none is to be sent; `identity` the own name and incarnation token.
         """
-        self.name, self._address, self._key, self._every, self._who = (
-            name,
-            address,
-            key,
-            heartbeat_interval,
-            identity,
-        )
-        self._beat, self._heard = make_heartbeat, on_heartbeat
-        self._numbers = count(1)
+        self.name = name
+        self.connected = False  # whether the member has answered a heartbeat on this connection
+        self._address = address
+        self._key = key
+        self._heartbeat_interval = heartbeat_interval
+        self._make_heartbeat = make_heartbeat
+        self._on_heartbeat = on_heartbeat
+        self._identity = identity
+        self._request_ids = count(1)
         self._wake = anyio.Event()
-        self._asked: dict[str, list[Callable[[PeerOperationStatus | None], None]]] = {}
-        self._out: dict[int, list[tuple[str, list[Callable[[PeerOperationStatus | None], None]]]]] = {}
-        self._calls: list[tuple[Callable[[int], MemberMessage], Callable[[MemberMessage | None], None]]] = []
-        self._posts: list[MemberMessage] = []
-        self._called: dict[int, Callable[[MemberMessage | None], None]] = {}
-        self.connected = False
-        self._wanted = False
-        self._have: Callable[[Any], None] = _nothing
-        self._due, self._unanswered = 0.0, 0  # when the next word is due; words since the last answer
+        self._next_heartbeat_at = 0.0  # by the steady clock
+        self._unanswered_heartbeats = 0
+        self._pending_queries: dict[str, list[StatusCallback]] = {}  # by operation
+        self._queries_in_flight: dict[int, list[_StatusWaiters]] = {}  # by request id
+        self._pending_requests: list[_PendingRequest] = []
+        self._requests_in_flight: dict[int, ReplyCallback] = {}  # by request id
+        self._pending_messages: list[MemberMessage] = []
+        self._endpoint_list_wanted = False
+        self._on_endpoint_list: Callable[[Any], None] = _ignore_endpoint_list
 
     def send_heartbeat_now(self) -> None:
-        """Speak now."""
-        self._due = 0.0
+        """Send a heartbeat without waiting for the interval."""
+        self._next_heartbeat_at = 0.0
         self._wake.set()
 
     def request_endpoint_list(self, on_reply: Callable[[Any], None]) -> None:
-        """Ask for the server list that the member has."""
-        self._have, self._wanted = on_reply, True
+        """Ask for the member's endpoint list, now or once the connection is up."""
+        self._on_endpoint_list = on_reply
+        self._endpoint_list_wanted = True
         self._wake.set()
 
-    def query_status(self, operation: str, on_reply: Callable[[PeerOperationStatus | None], None]) -> None:
-        """Ask about an operation; told None where the connection ends first, or there is none."""
+    def query_status(self, operation: str, on_reply: StatusCallback) -> None:
+        """Ask what the member knows of an operation; queries of the same moment are sent as one."""
         if not self.connected:
             on_reply(None)
             return
-        self._asked.setdefault(operation, []).append(on_reply)
+        self._pending_queries.setdefault(operation, []).append(on_reply)
         self._wake.set()
 
-    def request(
-        self, make_request: Callable[[int], MemberMessage], on_reply: Callable[[MemberMessage | None], None]
-    ) -> None:
-        """Send what `make` makes of a number; told its answer, or None where the connection ends first."""
+    def request(self, make_request: Callable[[int], MemberMessage], on_reply: ReplyCallback) -> None:
+        """Send the request that `make_request` makes for a request id."""
         if not self.connected:
             on_reply(None)
             return
-        self._calls.append((make_request, on_reply))
+        self._pending_requests.append(_PendingRequest(make_request, on_reply))
         self._wake.set()
 
     def send(self, message: MemberMessage) -> None:
-        """Send what nothing answers; it is lost where the connection is down."""
+        """Send a message that has no reply; it is dropped while the connection is down."""
         if self.connected:
-            self._posts.append(message)
+            self._pending_messages.append(message)
             self._wake.set()
 
     async def run(self) -> None:
-        """Keep the connection up, for good."""
-        back_off = Backoff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
+        """Keep the connection up until cancelled."""
+        backoff = Backoff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
         while True:
-            spoke = False
+            was_connected = False
             try:
                 async with open_stream(self._address) as stream:
-                    spoke = await self._speak(stream)
+                    was_connected = await self._run_connection(stream)
             except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
-                spoke = self.connected
-                _log.debug("link ended", member=self.name, why=repr(error))
+                was_connected = self.connected
+                _log.debug("member connection closed", member=self.name, reason=repr(error))
             except Exception:
-                _log.exception("link failed", member=self.name)
+                # An error in a callback must not end the connection to this member for good.
+                _log.exception("member connection failed", member=self.name)
             finally:
-                self._lose()
-            await back_off.sleep(spoke)
-
-    def _lose(self) -> None:
-        self.connected, self._due, self._unanswered = False, 0.0, 0
-        waiting = [told for asked in self._out.values() for _, each in asked for told in each]
-        waiting += [told for each in self._asked.values() for told in each]
-        calls = [*self._called.values(), *(told for _, told in self._calls)]
-        self._out.clear()
-        self._asked.clear()
-        self._called.clear()
-        self._calls.clear()
-        self._posts.clear()
-        for told in waiting:
-            told(None)
-        for called in calls:
-            called(None)
-
-    async def _speak(self, stream: Stream) -> bool:
-        own = os.urandom(NONCE_BYTES)
-        wire = AuthenticatedChannel(self._key, True, own)
-        await stream.send(own)
+                self._reset()
+            await backoff.sleep(was_connected)
+
+    def _reset(self) -> None:
+        """Forget what depends on the connection, and tell all waiters that it has ended."""
+        self.connected = False
+        self._next_heartbeat_at = 0.0
+        self._unanswered_heartbeats = 0
+        queries: list[StatusCallback] = []
+        for waiters in self._queries_in_flight.values():
+            for each in waiters:
+                queries += each.callbacks
+        for callbacks in self._pending_queries.values():
+            queries += callbacks
+        requests = list(self._requests_in_flight.values())
+        requests += [pending.on_reply for pending in self._pending_requests]
+        self._queries_in_flight.clear()
+        self._pending_queries.clear()
+        self._requests_in_flight.clear()
+        self._pending_requests.clear()
+        self._pending_messages.clear()
+        for on_status in queries:
+            on_status(None)
+        for on_reply in requests:
+            on_reply(None)
+
+    async def _run_connection(self, stream: Stream) -> bool:
+        """Send and receive until the connection ends; returns whether the member has answered."""
+        channel = await _open_channel(stream, self._key)
         with anyio.fail_after(HANDSHAKE_TIMEOUT):
-            while not wire.is_ready:
-                wire.receive_data(await stream.receive())
+            await _receive_nonce(stream, channel)
         async with anyio.create_task_group() as group:
 
-            async def listen_on() -> None:
-                # Danger: one exception of a group is raised as a group; the loop above wants the plain one.
+            async def receive() -> None:
+                # The error of a child task is raised in an exception group, which `run` does not expect.
                 with suppress(MemberProtocolError, *STREAM_ERRORS):
                     while True:
-                        for message in wire.receive_data(await stream.receive()):
-                            self._take(message)
+                        for message in channel.receive_data(await stream.receive()):
+                            self._process(message)
                 group.cancel_scope.cancel()
 
-            group.start_soon(listen_on)
+            group.start_soon(receive)
             with suppress(*STREAM_ERRORS):
-                # Danger: a machine that lost its power never closes its connections. Counted in words that
-                # were spoken, so that one's own pause ends none.
-                while self._unanswered <= MAX_UNANSWERED_HEARTBEATS:
-                    await self._turn(stream, wire)
+                # A machine that has lost power never closes its connections. The limit counts heartbeats that
+                # were sent, not time, so that a pause of this process ends no connection.
+                while self._unanswered_heartbeats <= MAX_UNANSWERED_HEARTBEATS:
+                    await self._send_pending(stream, channel)
             group.cancel_scope.cancel()
         return self.connected
 
-    async def _turn(self, stream: Stream, wire: AuthenticatedChannel) -> None:
-        """Say what there is to say, then wait for more or for the next word's time."""
+    async def _send_pending(self, stream: Stream, channel: AuthenticatedChannel) -> None:
+        """Send all that is due, then wait until there is more or the next heartbeat is due."""
         self._wake = anyio.Event()
         now = monotonic()
-        if now >= self._due and (beat := self._beat(self.name)):
-            beat.request_id = next(self._numbers)
-            self._due, self._unanswered = now + self._every, self._unanswered + 1
-            await stream.send(wire.encode(beat))
-        if self._asked:
-            await self._put(stream, wire)
-        posts, self._posts = self._posts, []
-        for message in posts:
-            await stream.send(wire.encode(message))
-        calls, self._calls = self._calls, []
-        for make, told in calls:
-            number = next(self._numbers)
-            self._called[number] = told
-            await stream.send(wire.encode(make(number)))
-        if self._wanted:
-            self._wanted = False
-            await stream.send(wire.encode(EndpointListRequest(next(self._numbers))))
-        with anyio.move_on_after(max(self._due - monotonic(), MIN_IDLE_WAIT)):
+        if now >= self._next_heartbeat_at and (heartbeat := self._make_heartbeat(self.name)):
+            heartbeat.request_id = next(self._request_ids)
+            self._next_heartbeat_at = now + self._heartbeat_interval
+            self._unanswered_heartbeats += 1
+            await stream.send(channel.encode(heartbeat))
+        if self._pending_queries:
+            await self._send_queries(stream, channel)
+        messages, self._pending_messages = self._pending_messages, []
+        for message in messages:
+            await stream.send(channel.encode(message))
+        requests, self._pending_requests = self._pending_requests, []
+        for pending in requests:
+            request_id = next(self._request_ids)
+            self._requests_in_flight[request_id] = pending.on_reply
+            await stream.send(channel.encode(pending.make_request(request_id)))
+        if self._endpoint_list_wanted:
+            self._endpoint_list_wanted = False
+            await stream.send(channel.encode(EndpointListRequest(next(self._request_ids))))
+        with anyio.move_on_after(max(self._next_heartbeat_at - monotonic(), MIN_IDLE_WAIT)):
             await self._wake.wait()
 
-    async def _put(self, stream: Stream, wire: AuthenticatedChannel) -> None:
-        number, asked = next(self._numbers), list(self._asked.items())
-        self._asked = {}
-        self._out[number] = asked
-        names = [operation for operation, _ in asked]
-        await stream.send(wire.encode(StatusQuery(number, names, *self._who())))
+    async def _send_queries(self, stream: Stream, channel: AuthenticatedChannel) -> None:
+        request_id = next(self._request_ids)
+        waiters = [_StatusWaiters(name, callbacks) for name, callbacks in self._pending_queries.items()]
+        self._pending_queries = {}
+        self._queries_in_flight[request_id] = waiters
+        operations = [each.operation for each in waiters]
+        await stream.send(channel.encode(StatusQuery(request_id, operations, *self._identity())))
 
-    def _take(self, message: MemberMessage) -> None:
+    def _process(self, message: MemberMessage) -> None:
         if isinstance(message, EndpointListReply):
-            self._have(message.endpoint_list)
+            self._on_endpoint_list(message.endpoint_list)
         if isinstance(message, Heartbeat):
-            self.connected, self._unanswered = True, 0
-            self._heard(message)
-        elif told := self._called.pop(getattr(message, "request_id", 0), None):
-            told(message)
-        elif isinstance(message, StatusReply) and (asked := self._out.pop(message.request_id, None)):
-            for (_, waiting), (word, answer) in zip(asked, message.statuses):
-                for each in waiting:
-                    each(
-                        PeerOperationStatus(word, answer, message.incarnation_token, message.recorded_tokens)
-                    )
+            self.connected = True
+            self._unanswered_heartbeats = 0
+            self._on_heartbeat(message)
+        elif on_reply := self._requests_in_flight.pop(_request_id(message), None):
+            on_reply(message)
+        elif isinstance(message, StatusReply):
+            self._process_statuses(message)
+
+    def _process_statuses(self, reply: StatusReply) -> None:
+        waiters = self._queries_in_flight.pop(reply.request_id, [])
+        for each, (status, answer) in zip(waiters, reply.statuses):
+            for callback in each.callbacks:
+                callback(PeerOperationStatus(status, answer, reply.incarnation_token, reply.recorded_tokens))
 
 
 class MemberListener:
-    """Takes in the other members' connections, and operators'."""
+    """Accepts the connections of other members and of operators."""
 
     def __init__(self, key: str, max_connections: int, respond: Callable[[MemberMessage], Response]) -> None:
-        """`answer` gives what a message is answered with, if anything, now or later."""
-        self._key, self._most, self._answer = key, max_connections, respond
-        self._count = 0
+        """`respond` returns the reply to a message, an awaitable of it, or None where it has none."""
+        self._key = key
+        self._max_connections = max_connections
+        self._respond = respond
+        self._connection_count = 0
 
     async def run(self, address: Address) -> None:
-        """Listen for good; OSError where that cannot be."""
+        """Listen until cancelled; raises OSError where the address cannot be listened on."""
         listener = open_listener(address)
         try:
             async with anyio.create_task_group() as group:
@@ -247,82 +278,100 @@
                     await anyio.wait_readable(listener)
                     with suppress(BlockingIOError, ConnectionError):
                         raw, _ = listener.accept()
-                        if self._count >= self._most:
+                        if self._connection_count >= self._max_connections:
                             raw.close()
                             continue
-                        self._count += 1
+                        self._connection_count += 1
                         group.start_soon(self._serve, Stream(raw))
         finally:
             listener.close()
 
     async def _serve(self, stream: Stream) -> None:
-        own = os.urandom(NONCE_BYTES)
-        wire = AuthenticatedChannel(self._key, False, own)
         try:
-            await stream.send(own)
-            first: list[MemberMessage] = []
-            with anyio.fail_after(HANDSHAKE_TIMEOUT):
-                while not first:
-                    first = wire.receive_data(await stream.receive())
-            turn = anyio.Lock()
-            async with anyio.create_task_group() as group:
-                with suppress(MemberProtocolError, *STREAM_ERRORS):
-                    await self._answer_all(stream, wire, first, group, turn)
-                    while True:
-                        messages = wire.receive_data(await stream.receive())
-                        await self._answer_all(stream, wire, messages, group, turn)
-                group.cancel_scope.cancel()
+            await self._serve_messages(stream)
         except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
             if isinstance(error, MemberProtocolError | TimeoutError):
-                _log.warning("a stranger was turned away", why=repr(error))
+                _log.warning("connection rejected", reason=repr(error))
         except Exception:
-            _log.exception("caller failed")
+            # An error in the handling of one connection must not end the others.
+            _log.exception("connection handler failed")
         finally:
-            self._count -= 1
+            self._connection_count -= 1
             stream.close()
 
-    async def _answer_all(
-        self,
-        stream: Stream,
-        wire: AuthenticatedChannel,
-        messages: list[MemberMessage],
-        group: TaskGroup,
-        turn: anyio.Lock,
-    ) -> None:
-        for message in messages:
-            answer = self._answer(message)
-            if isinstance(answer, Awaitable):
-                group.start_soon(self._later, stream, wire, answer, turn)
-            elif answer is not None:
-                await self._say(stream, wire, answer, turn)
-
-    async def _later(
-        self, stream: Stream, wire: AuthenticatedChannel, answer: Awaitable[MemberMessage], turn: anyio.Lock
-    ) -> None:
-        with suppress(*STREAM_ERRORS):
-            await self._say(stream, wire, await answer, turn)
+    async def _serve_messages(self, stream: Stream) -> None:
+        channel = await _open_channel(stream, self._key, is_initiator=False)
+        messages: list[MemberMessage] = []
+        with anyio.fail_after(HANDSHAKE_TIMEOUT):
+            while not messages:
+                messages = channel.receive_data(await stream.receive())
+        sender = _ReplySender(stream, channel)
+        async with anyio.create_task_group() as group:
+            with suppress(MemberProtocolError, *STREAM_ERRORS):
+                while True:
+                    for message in messages:
+                        await self._reply(message, sender, group)
+                    messages = channel.receive_data(await stream.receive())
+            group.cancel_scope.cancel()
 
-    async def _say(
-        self, stream: Stream, wire: AuthenticatedChannel, answer: MemberMessage, turn: anyio.Lock
-    ) -> None:
-        # Danger: frames are counted, and a long one goes out in parts: one at a time.
-        async with turn:
-            await stream.send(wire.encode(answer))
+    async def _reply(self, message: MemberMessage, sender: _ReplySender, group: TaskGroup) -> None:
+        response = self._respond(message)
+        if isinstance(response, Awaitable):
+            group.start_soon(sender.send_later, response)
+        elif response is not None:
+            await sender.send(response)
+
+
+class _ReplySender:
+    """Sends replies on one connection, each as a whole."""
+
+    def __init__(self, stream: Stream, channel: AuthenticatedChannel) -> None:
+        self._stream = stream
+        self._channel = channel
+        self._lock = anyio.Lock()
+
+    async def send(self, reply: MemberMessage) -> None:
+        """Send a reply once the replies before it are sent."""
+        # Frames are numbered as they are encoded, and a long one is sent in several parts.
+        async with self._lock:
+            await self._stream.send(self._channel.encode(reply))
+
+    async def send_later(self, reply: Awaitable[MemberMessage]) -> None:
+        """Send a reply once it is known, unless the connection has ended."""
+        with suppress(*STREAM_ERRORS):
+            await self.send(await reply)
 
 
 async def send_operator_command(
     address: Address, key: str, command: str, operator: str = "", register_key: str = "", value: str = ""
 ) -> OperatorReport:
-    """An operator's word to one member; OSError, Stranger or the end of the stream where it fails."""
+    """Send an operator's command to one member and return its report.
+
+    Raises OSError, MemberProtocolError or one of STREAM_ERRORS where that fails.
+    """
     async with open_stream(address) as stream:
-        own = os.urandom(NONCE_BYTES)
-        wire = AuthenticatedChannel(key, True, own)
-        await stream.send(own)
+        channel = await _open_channel(stream, key)
         with anyio.fail_after(HANDSHAKE_TIMEOUT):
-            while not wire.is_ready:
-                wire.receive_data(await stream.receive())
-            await stream.send(wire.encode(OperatorCommand(1, command, operator, register_key, value)))
+            await _receive_nonce(stream, channel)
+            await stream.send(channel.encode(OperatorCommand(1, command, operator, register_key, value)))
             while True:
-                for message in wire.receive_data(await stream.receive()):
+                for message in channel.receive_data(await stream.receive()):
                     if isinstance(message, OperatorReport):
                         return message
+
+
+async def _open_channel(stream: Stream, key: str, is_initiator: bool = True) -> AuthenticatedChannel:
+    """Send a nonce, and return the channel that goes with it."""
+    nonce = os.urandom(NONCE_BYTES)
+    await stream.send(nonce)
+    return AuthenticatedChannel(key, is_initiator, nonce)
+
+
+async def _receive_nonce(stream: Stream, channel: AuthenticatedChannel) -> None:
+    while not channel.is_ready:
+        channel.receive_data(await stream.receive())
+
+
+def _request_id(message: MemberMessage) -> int:
+    """Request id of a message; 0 where it has none."""
+    return 0 if isinstance(message, ConsensusMessage) else message.request_id
