--- a/frostfall/net/recovery/log_replay.py
+++ b/frostfall/net/recovery/log_replay.py
@@ -18,8 +18,8 @@
 from frostfall.recovery.metadata import MetadataRecord, ReplicaAssignment
 from frostfall.replication.replica_store import is_replica_name
 from frostfall.storage import segment_codec
+from frostfall.storage.log_recovery import LogCondition
 from frostfall.storage.segment_codec import Record, RecordState
-from frostfall.storage.write_ahead_log import LogCondition
 
 OPEN_RECORD_BYTES = 1024  # bytes read of a record: an open operation has no answer, and a short name
 
--- a/frostfall/storage/record_index.py
+++ b/frostfall/storage/record_index.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from frostfall.storage.segment_codec import RecordState
+from frostfall.storage.segment_codec import ANY_LOCATION, RecordState
 
 MIN_SLOTS = 1 << 10
 MAX_LOAD_FACTOR = 0.7  # share of the slots, tombstones included, from which the table is rebuilt
@@ -112,6 +112,16 @@
         self._count -= 1
         return True
 
+    def apply(self, state: RecordState, key: int, previous: int, location: int) -> None:
+        """Put a record's location in place of the previous one of its key, which may be 0 or ANY_LOCATION."""
+        if previous == ANY_LOCATION:
+            previous = next(iter(self.get(key)), 0)
+        if state == RecordState.NOT_EXECUTED:
+            if previous:
+                self.remove(key, previous)
+        elif not (previous and self.replace(key, previous, location)):
+            self.add(key, location)
+
     def remove_before(self, segment: int) -> int:
         """Remove all locations in segments before this one, and return how many there were."""
         first_kept = segment << _SEGMENT_SHIFT
--- a/frostfall/storage/write_ahead_log.py
+++ b/frostfall/storage/write_ahead_log.py
@@ -12,22 +12,19 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
-from enum import Enum
 from hashlib import blake2b
 from itertools import pairwise
-from typing import NamedTuple
 
 from frostfall.storage import segment_codec
 from frostfall.storage.errors import LogStateError
+from frostfall.storage.log_recovery import LogCondition, LogRecovery, RecoveredLog, SegmentInfo, Truncation
 from frostfall.storage.options import StorageOptions
 from frostfall.storage.record_index import RecordIndex, RecordLocation, pack_location, unpack_location
 from frostfall.storage.segment_codec import (
     FrameKind,
     Record,
     RecordState,
-    SegmentEnd,
     SegmentHeader,
-    SegmentScan,
 )
 
 SEGMENTS_PER_RETENTION = 8  # at least, so that expired records are removed in time
@@ -39,28 +36,6 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "little")
 
 
-class LogCondition(Enum):
-    """State of the log as a start found it; the values are reported to operators."""
-
-    FRESH = "fresh"  # there was none: a first start, or a lost directory
-    INTACT = "whole"
-    CORRUPTED = "damaged"  # something that was durable is missing or changed
-    FOREIGN_OWNER = "foreign"  # it belongs to another agent
-    NEWER_FORMAT = "newer"  # a later version of the program wrote it
-
-    @property
-    def is_usable(self) -> bool:
-        """Whether the owner may go on writing here."""
-        return self in (LogCondition.FRESH, LogCondition.INTACT)
-
-
-class Truncation(NamedTuple):
-    """A segment to be shortened, and the bytes that stay."""
-
-    segment: int
-    size: int
-
-
 @dataclass(slots=True)
 class SegmentWrite:
     """Steps for the driver, in this order. A step that fails is reported by `WriteAheadLog.write_failed`."""
@@ -74,15 +49,6 @@
     obsolete_segments: list[int] = field(default_factory=list)  # to be removed
 
 
-@dataclass(slots=True)
-class _SegmentInfo:
-    """A segment in use."""
-
-    started_at: float  # seconds of the owner's running time
-    format_version: int
-    size: int = 0  # bytes that are durable
-
-
 @dataclass(slots=True)
 class _WriteInFlight:
     """A write that the driver has taken and not reported yet."""
@@ -91,7 +57,7 @@
     records: list[Record]
     offsets: list[int]  # of the records in their segment
     last_ticket: int
-    new_segment: _SegmentInfo | None
+    new_segment: SegmentInfo | None
 
 
 class WriteAheadLog:
@@ -118,10 +84,9 @@
         self._last_ticket = 0  # appended
         self._last_taken_ticket = 0  # handed to the driver
         self._in_flight: _WriteInFlight | None = None
-        self._segments: dict[int, _SegmentInfo] = {}
+        self._segments: dict[int, SegmentInfo] = {}
         self._current_segment = 0
         self._owns_current_segment = False  # started by this incarnation, so that it may append to it
-        self._oldest_segment = 1  # by the newest header
         self._truncation: Truncation | None = None  # of a torn write, due before the next segment
         self._retired_through = 0  # segments up to this one are removed when the next one starts
         self._leftover_segments: list[int] = []  # not in use, and still to be removed
@@ -139,95 +104,26 @@
         `on_metadata` is called with each metadata record. Reading stops at the first segment that is
         unusable; what was read before it is kept in the index all the same.
         """
-        oldest = self._find_oldest_segment(segment_numbers, read_segment)
-        self._leftover_segments += [number for number in segment_numbers if number < oldest]
-        for number in segment_numbers:
-            if number < oldest:
-                continue
-            if not self.condition.is_usable:
-                break
-            is_last = number == segment_numbers[-1]
-            self._recover_segment(number, read_segment(number), is_last, on_metadata)
-        if self.condition.is_usable and self._current_segment and self._oldest_segment not in self._segments:
-            self._mark_unusable(LogCondition.CORRUPTED, f"segment {self._oldest_segment} is missing")
-        self._release_segments([number for number in self._segments if number < self._oldest_segment])
+        recovery = LogRecovery(self.owner, self.store_id, self.index, on_metadata)
+        try:
+            recovery.run(segment_numbers, read_segment)
+        finally:
+            # What was found is reported to operators even if a segment could not be read.
+            self._adopt(recovery.log)
         self.last_durable_batch = self.last_batch
-
-    def _find_oldest_segment(
-        self, segment_numbers: Sequence[int], read_segment: Callable[[int], bytes]
-    ) -> int:
-        """Return the oldest segment in use, by the header of the newest segment that has a record; 0 if none.
-
-        The removal of an older one may not be durable. It must not be read: if it is corrupted, the whole log
-        would count as corrupted.
-        """
-        for number in reversed(segment_numbers):
-            scan = SegmentScan()
-            is_last = number == segment_numbers[-1]
-            first_record = next(segment_codec.iter_records(read_segment(number), is_last, scan), None)
-            if first_record and scan.header and scan.header.owner == self.owner:
-                return scan.header.oldest_segment
-        return 0
-
-    def _recover_segment(
-        self, number: int, raw: bytes, is_last: bool, on_metadata: Callable[[bytes], None]
-    ) -> None:
-        index = self.index
-
-        def visit(state: RecordState, key: int, previous: int, offset: int, payload: memoryview) -> None:
-            if state == RecordState.METADATA:
-                on_metadata(bytes(payload))
-                return
-            _apply_to_index(index, state, key, previous, pack_location(number, offset, state))
-
-        scan = segment_codec.scan_segment(raw, is_last, visit)
-        header = scan.header
-        if scan.end is SegmentEnd.NEWER_FORMAT:
-            self._mark_unusable(LogCondition.NEWER_FORMAT, f"segment {number}: {scan.reason}")
-            return
-        if scan.end is SegmentEnd.CORRUPTED:
-            self._mark_unusable(LogCondition.CORRUPTED, f"segment {number}: {scan.reason}")
-        if header is None:
-            self.torn_bytes += len(raw)  # started and never reported as durable: as if it did not exist
-            return
-        if header.owner != self.owner:
-            self.condition = LogCondition.FOREIGN_OWNER
-            self.condition_reason = f"segment {number} belongs to {header.owner!r}"
-            return
-        self._check_continuity(number, header)
-        if scan.end is SegmentEnd.TORN:
-            self.torn_bytes += len(raw) - scan.valid_bytes
-            self._truncation = Truncation(number, scan.valid_bytes)
-        self.store_id = header.store_id
-        self.last_batch = scan.last_batch
-        self.previous_run_seconds = max(self.previous_run_seconds, header.elapsed_seconds)
-        self._current_segment = number
-        self._oldest_segment = header.oldest_segment
-        self._segments[number] = _SegmentInfo(header.elapsed_seconds, scan.format_version, scan.valid_bytes)
-
-    def _check_continuity(self, number: int, header: SegmentHeader) -> None:
-        """Check that a segment follows the one read before it."""
-        previous = self._current_segment
-        if (
-            header.segment != number
-            or (previous and number != previous + 1)
-            or (self.store_id and header.store_id != self.store_id)
-        ):
-            reason = f"segment {number} does not follow segment {previous}"
-            self._mark_unusable(LogCondition.CORRUPTED, reason)
-        elif previous and header.first_batch != self.last_batch + 1:
-            self._mark_unusable(
-                LogCondition.CORRUPTED,
-                f"segment {number} begins with batch {header.first_batch}, "
-                f"segment {previous} ends with {self.last_batch}",
-            )
-        elif self.condition is LogCondition.FRESH:
-            self.condition = LogCondition.INTACT
-
-    def _mark_unusable(self, condition: LogCondition, reason: str) -> None:
-        if self.condition.is_usable:
-            self.condition = condition
-            self.condition_reason = reason
+        self._release_segments([each for each in self._segments if each < recovery.log.oldest_segment])
+
+    def _adopt(self, recovered: RecoveredLog) -> None:
+        self.condition = recovered.condition
+        self.condition_reason = recovered.condition_reason
+        self.store_id = recovered.store_id
+        self.previous_run_seconds = recovered.previous_run_seconds
+        self.torn_bytes = recovered.torn_bytes
+        self.last_batch = recovered.last_batch
+        self._segments = recovered.segments
+        self._current_segment = recovered.current_segment
+        self._truncation = recovered.truncation
+        self._leftover_segments = recovered.leftover_segments
 
     def _release_segments(self, numbers: list[int]) -> None:
         """Stop using these segments; their files are removed with the next segment's start."""
@@ -350,7 +246,7 @@
         for record, offset in zip(in_flight.records, in_flight.offsets):
             if record.state is not RecordState.METADATA:
                 location = pack_location(write.segment, offset, record.state)
-                _apply_to_index(self.index, record.state, record.key, record.previous_location, location)
+                self.index.apply(record.state, record.key, record.previous_location, location)
         self._segments[self._current_segment].size += len(write.data) + len(write.unsynced_data)
         self.last_durable_batch = self.last_batch
         self.durable_ticket = in_flight.last_ticket
@@ -377,7 +273,7 @@
             or elapsed - current.started_at >= self.options.keep / SEGMENTS_PER_RETENTION
         )
 
-    def _start_segment(self, write: SegmentWrite, elapsed: float) -> _SegmentInfo:
+    def _start_segment(self, write: SegmentWrite, elapsed: float) -> SegmentInfo:
         """Make this write start a segment, and name the segments that are obsolete by then."""
         number = self._current_segment + 1
         expired = self._expired_segments(number, elapsed)
@@ -396,7 +292,7 @@
                 store_id=self.store_id,
             )
         )
-        return _SegmentInfo(elapsed, segment_codec.FORMAT_VERSION)
+        return SegmentInfo(elapsed, segment_codec.FORMAT_VERSION)
 
     def _expired_segments(self, new_segment: int, elapsed: float) -> list[int]:
         """Segments whose records have all outlived the retention, or were written again."""
@@ -418,14 +314,3 @@
             size += len(record.payload)
             taken.append(record)
         return taken
-
-
-def _apply_to_index(index: RecordIndex, state: RecordState, key: int, previous: int, location: int) -> None:
-    """Put a record's location into the index in place of the previous one of its key."""
-    if previous == segment_codec.ANY_LOCATION:
-        previous = next(iter(index.get(key)), 0)
-    if state == RecordState.NOT_EXECUTED:
-        if previous:
-            index.remove(key, previous)
-    elif not (previous and index.replace(key, previous, location)):
-        index.add(key, location)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -14,10 +14,11 @@
 
 from frostfall.net.log_writer import LogWriter, SegmentDirectory, execute_write
 from frostfall.storage import segment_codec
+from frostfall.storage.log_recovery import LogCondition
 from frostfall.storage.options import StorageOptions
 from frostfall.storage.record_index import RecordIndex, pack_location, unpack_location
 from frostfall.storage.segment_codec import Record, RecordState
-from frostfall.storage.write_ahead_log import LogCondition, WriteAheadLog, operation_key
+from frostfall.storage.write_ahead_log import WriteAheadLog, operation_key
 
 SMALL = StorageOptions(segment_bytes=65536, folder_bytes=65536 * 8, keep=100.0)
 
