--- a/frostfall/storage/log_recovery.py
+++ b/frostfall/storage/log_recovery.py
@@ -103,7 +103,7 @@
         return 0
 
     def _recover_segment(self, number: int, raw: bytes, is_last: bool) -> None:
-        index = self._index
+        apply = self._index.apply
         on_metadata = self._on_metadata
         log = self.log
 
@@ -111,7 +111,7 @@
             if state == RecordState.METADATA:
                 on_metadata(bytes(payload))
                 return
-            index.apply(state, key, previous, pack_location(number, offset, state))
+            apply(state, key, previous, pack_location(number, offset, state))
 
         scan = segment_codec.scan_segment(raw, is_last, visit)
         header = scan.header
--- a/frostfall/storage/record_index.py
+++ b/frostfall/storage/record_index.py
@@ -24,6 +24,8 @@
 _STATE_MASK = (1 << _STATE_BITS) - 1
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
 
+_RECORD_STATES = tuple(sorted(RecordState))  # by value; a call of the enum takes several times as long
+
 # Contents of a slot without an entry. A packed location is larger, as segments are numbered from 1.
 _EMPTY = 0
 _TOMBSTONE = 1
@@ -47,7 +49,7 @@
     return RecordLocation(
         location >> _SEGMENT_SHIFT,
         (location >> _STATE_BITS) & _OFFSET_MASK,
-        RecordState(location & _STATE_MASK),
+        _RECORD_STATES[location & _STATE_MASK],
     )
 
 
--- a/frostfall/storage/segment_codec.py
+++ b/frostfall/storage/segment_codec.py
@@ -94,11 +94,6 @@
     number: int
     payload: memoryview
 
-    @property
-    def encoded_size(self) -> int:
-        """Bytes of the whole frame."""
-        return FRAME_HEADER.size + len(self.payload)
-
 
 class EncodedBatch(NamedTuple):
     """A batch as a frame, with the offset in it of each record."""
@@ -143,10 +138,8 @@
 
 def encode_frame(kind: FrameKind, number: int, payload: bytes) -> bytes:
     """Encode one frame."""
-    return (
-        FRAME_HEADER.pack(FRAME_MARKER, len(payload), kind, number, _checksum(kind, number, payload))
-        + payload
-    )
+    checksum = crc32c(payload, crc32c(_CHECKSUMMED_FIELDS.pack(kind, number)))
+    return FRAME_HEADER.pack(FRAME_MARKER, len(payload), kind, number, checksum) + payload
 
 
 def encode_segment_start(header: SegmentHeader) -> bytes:
@@ -179,7 +172,7 @@
     if marker != FRAME_MARKER or length > MAX_PAYLOAD_BYTES or end > len(data) or kind not in (1, 2, 3):
         return None
     payload = data[offset + FRAME_HEADER.size : end]
-    if _checksum(kind, number, payload) != checksum:
+    if crc32c(payload, crc32c(_CHECKSUMMED_FIELDS.pack(kind, number))) != checksum:
         return None
     return Frame(FrameKind(kind), number, payload)
 
@@ -219,17 +212,17 @@
         if frame is None:
             _classify_bad_frame(scan, data, offset, is_last)
             break
-        if frame.kind is FrameKind.BATCH:
-            if frame.number != scan.last_batch + 1:
-                reason = f"batch {frame.number} behind {scan.last_batch}"
-                scan.finish(SegmentEnd.CORRUPTED, reason)
+        kind, number, payload = frame
+        if kind is FrameKind.BATCH:
+            if number != scan.last_batch + 1:
+                scan.finish(SegmentEnd.CORRUPTED, f"batch {number} behind {scan.last_batch}")
                 break
-            yield from iter_batch_records(frame.payload, offset + FRAME_HEADER.size, scan.format_version)
-            scan.last_batch = frame.number
+            yield from iter_batch_records(payload, offset + FRAME_HEADER.size, scan.format_version)
+            scan.last_batch = number
             scan.batch_count += 1
-        elif frame.kind is FrameKind.SYNCED:
-            scan.last_synced_batch = frame.number
-        offset += frame.encoded_size
+        elif kind is FrameKind.SYNCED:
+            scan.last_synced_batch = number
+        offset += FRAME_HEADER.size + len(payload)
     scan.valid_bytes = offset
     if scan.last_synced_batch > scan.last_batch and scan.end is not SegmentEnd.CORRUPTED:
         scan.finish(SegmentEnd.CORRUPTED, f"batch {scan.last_synced_batch} was on disk and is not here")
@@ -252,10 +245,6 @@
     return RECORD_HEADER_V1 if format_version == 1 else RECORD_HEADER
 
 
-def _checksum(kind: int, number: int, payload: bytes | memoryview) -> int:
-    return crc32c(payload, crc32c(_CHECKSUMMED_FIELDS.pack(kind, number)))
-
-
 def _has_valid_frame_after(data: memoryview, offset: int) -> bool:
     """Whether a valid frame begins anywhere behind this offset."""
     remainder = bytes(data[offset + 1 :])
@@ -284,7 +273,7 @@
                 except msgspec.MsgspecError as error:
                     scan.finish(SegmentEnd.CORRUPTED, f"header: {error}")
                     return 0
-                return PREAMBLE.size + frame.encoded_size
+                return PREAMBLE.size + FRAME_HEADER.size + len(frame.payload)
     # A segment is reported as durable together with its header, so only the last one may still lack it.
     is_torn = is_last and not _has_valid_frame_after(data, -1)
     scan.finish(SegmentEnd.TORN if is_torn else SegmentEnd.CORRUPTED, "no header that can be read")
