--- a/frostfall/routing/outlier_ejection.py
+++ b/frostfall/routing/outlier_ejection.py
@@ -64,6 +64,10 @@
         """The number of servers with a record, those included that are being restored."""
         return len(self._records)
 
+    def ejected_count(self, now: Microseconds) -> int:
+        """The number of servers that are ejected at this time."""
+        return sum(now < record.ejected_until for record in self._records.values())
+
     def record_degraded(self, now: Microseconds, server: int, fleet_size: int) -> bool:
         """Record that a server has degraded; whether it is ejected now."""
         retention = self.options.forget * MICROSECONDS_PER_SECOND
@@ -81,8 +85,7 @@
 
     def _may_eject_another(self, now: Microseconds, fleet_size: int) -> bool:
         # Where all servers are slow alike, the network or this agent is, and no server would be left.
-        ejected = sum(now < record.ejected_until for record in self._records.values())
-        return fleet_size >= 2 and ejected + 1 <= max(int(fleet_size * self.options.share), 1)
+        return fleet_size >= 2 and self.ejected_count(now) + 1 <= max(int(fleet_size * self.options.share), 1)
 
     def _next_duration(self, record: _Record | None) -> Microseconds:
         if record is None:
