--- a/frostfall/net/clock.py
+++ b/frostfall/net/clock.py
@@ -1,4 +1,4 @@
-"""The agent's clock and its timers."""
+"""The agent's clock and its queue of timers."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
     def __init__(
         self, wall: Callable[[], int] = time.time_ns, steady: Callable[[], int] = time.monotonic_ns
     ) -> None:
-        """Anchor the clock."""
-        self._steady = steady
+        """Anchor the clock; `wall` and `steady` give nanoseconds."""
+        self._monotonic_ns = steady
         self._offset = wall() - steady()
 
     def now(self) -> int:
         """Microseconds of Unix time, which all agents share."""
-        return (self._steady() + self._offset) // 1000
+        return (self._monotonic_ns() + self._offset) // 1000
 
 
 class TimerQueue:
-    """One heap of timers, which one task watches."""
+    """Timers in a heap, which one task waits on."""
 
     def __init__(self, clock: Clock) -> None:
-        """With no timer set."""
+        """Start with no timer set."""
         self._clock = clock
         self._heap: list[tuple[int, int, str]] = []
         self._order = count()
         self._wake = anyio.Event()
-        self.max_lateness = 0  # microseconds by which a timer came late at most, since this was last reset
+        self.max_lateness = 0  # microseconds, since this was last reset
 
     def __len__(self) -> int:
         """How many timers are set."""
         return len(self._heap)
 
     def schedule(self, delay: int, token: str) -> None:
-        """Let a token come due after so many microseconds."""
+        """Fire a token after a delay in microseconds."""
         due = self._clock.now() + max(delay, 0)
         if not self._heap or due < self._heap[0][0]:
             self._wake.set()
         heapq.heappush(self._heap, (due, next(self._order), token))
 
     async def run(self, fire: Callable[[str], None]) -> None:
-        """Hand over each token as it comes due, in order."""
+        """Call `fire` with each token as it comes due, in order."""
         while True:
             self._wake = anyio.Event()
             now = self._clock.now()
--- a/frostfall/net/connection_monitor.py
+++ b/frostfall/net/connection_monitor.py
@@ -1,4 +1,4 @@
-"""One task that looks at connections when their time has come, in attended time."""
+"""One task that checks connections as their deadlines come, on a clock that leaves out the agent's stalls."""
 
 from __future__ import annotations
 
@@ -13,63 +13,62 @@
 from frostfall.limits.stall_adjusted_clock import StallAdjustedClock
 from frostfall.limits.timer_wheel import Timer, TimerWheel
 
-TICK_SECONDS = 0.1  # seconds: how finely deadlines of connections are kept
-MAX_TICK_GAP_SECONDS = 0.5  # seconds: between two turns, more than this the agent has slept through
+TICK_SECONDS = 0.1  # how finely the deadlines of connections are kept
+MAX_TICK_GAP_SECONDS = 0.5  # between two ticks: beyond that the agent was stalled
 
 _log = log.get_logger("watch")
 
 
 class MonitoredConnection(Timer, ABC):
-    """What is looked at."""
+    """A connection with a deadline of its own."""
 
     @abstractmethod
     def check(self, now: float) -> float | None:
-        """Check what has its time; seconds until the next look, or None until it is armed again."""
+        """Act on a deadline that has come; seconds until the next, or None until it is scheduled."""
 
 
 class ConnectionMonitor:
-    """The wheel of all connections' deadlines."""
+    """Owns the timer wheel of all connections' deadlines."""
 
     def __init__(self, monotonic_clock: Callable[[], float] = monotonic) -> None:
-        """Go by this clock, in seconds."""
-        self._steady = monotonic_clock
-        self._wheel: TimerWheel[MonitoredConnection] = TimerWheel()
+        """Go by this clock, which gives seconds."""
         self.clock = StallAdjustedClock(TICK_SECONDS, MAX_TICK_GAP_SECONDS)
+        self._monotonic_clock = monotonic_clock
+        self._wheel: TimerWheel[MonitoredConnection] = TimerWheel()
 
     def __len__(self) -> int:
-        """How many are waiting for their next look."""
+        """How many connections have a deadline."""
         return len(self._wheel)
 
     @property
     def now(self) -> float:
-        """Attended seconds, as of the last turn."""
+        """Stall-adjusted seconds, as of the last tick."""
         return self.clock.now
 
     def schedule(self, connection: MonitoredConnection, seconds: float) -> None:
-        """Look at it after so many seconds, or before."""
-        turns = math.ceil(seconds / TICK_SECONDS)
-        if not connection.armed or connection.due_tick > self._wheel.tick + turns:
-            self._wheel.schedule(connection, turns)
+        """Check the connection after so many seconds, or before."""
+        ticks = math.ceil(seconds / TICK_SECONDS)
+        if not connection.armed or connection.due_tick > self._wheel.tick + ticks:
+            self._wheel.schedule(connection, ticks)
 
     def cancel(self, connection: MonitoredConnection) -> None:
-        """Look at it no more."""
+        """Check the connection no more."""
         self._wheel.cancel(connection)
 
     def tick(self) -> None:
-        """Look at all whose time has come."""
-        now = self.clock.advance(self._steady())
-        for owner in self._wheel.advance(int(now / TICK_SECONDS)):
+        """Check all connections whose deadlines have come."""
+        now = self.clock.advance(self._monotonic_clock())
+        for connection in self._wheel.advance(int(now / TICK_SECONDS)):
             try:
-                again = owner.check(now)
-            except Exception:
-                # Danger: a fault in one connection must not end the watch over the others.
+                delay = connection.check(now)
+            except Exception:  # a fault in one connection must not end the checks of the others
                 _log.exception("look failed")
-                again = None
-            if again is not None:
-                self._wheel.schedule(owner, math.ceil(again / TICK_SECONDS))
+                delay = None
+            if delay is not None:
+                self._wheel.schedule(connection, math.ceil(delay / TICK_SECONDS))
 
     async def run(self, on_tick: Callable[[], None]) -> None:
-        """Take turns for good; `each` is called after every one."""
+        """Tick for good; `on_tick` is called after each tick."""
         while True:
             await anyio.sleep(TICK_SECONDS)
             self.tick()
--- a/frostfall/net/discovery.py
+++ b/frostfall/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: one watch on the list of appliances, for as long as it goes well."""
+"""The client of the discovery service: long polls for the endpoint list, one watch after the other."""
 
 from __future__ import annotations
 
@@ -11,23 +11,17 @@
 from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
 from frostfall.protocol.listing import CallFailed, Listing, Watch
 
-WAIT_FRACTION = 0.5  # of the time that the settings allow between questions: how long one call waits for news
-MAX_WAIT_SECONDS = (
-    4.0  # seconds: what a silent watch misses counts as told after six, and a new call needs time
-)
-RESPONSE_GRACE_SECONDS = (
-    1.0  # seconds past that wait: discovery answers in turn; after two, its news counts as told
-)
-MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = (
-    0.2,
-    4.0,
-)  # seconds between watches that fail unasked, doubling, with jitter
+WAIT_FRACTION = 0.5  # of the time that the settings allow between polls: how long one call waits for a change
+MAX_WAIT_SECONDS = 4.0  # a silent watch counts as failed after six seconds, and a new call needs some of them
+RESPONSE_GRACE_SECONDS = 1.0  # past that wait, for the response; after two seconds it counts as late
+MIN_BACKOFF_SECONDS = 0.2  # between watches that fail and restart by themselves
+MAX_BACKOFF_SECONDS = 4.0
 
 _log = log.get_logger("discovery")
 
 
 class DiscoveryClient:
-    """Runs the watch when asked to; its failure is told, and the next start is the agent's to ask for."""
+    """Runs one watch at a time; after a failure the next starts on request, or by itself."""
 
     def __init__(
         self,
@@ -38,80 +32,80 @@
         on_failure: Callable[[], None],
         auto_restart: bool = False,
     ) -> None:
-        """Watch for what is newer than a version; where nobody has to ask, again by itself."""
+        """Watch for what is newer than generation `since`; `watch_renewal_period` is in microseconds."""
         self._address = address
         self._since = since
-        self._wait = min(max(watch_renewal_period / 1e6 * WAIT_FRACTION, 1.0), MAX_WAIT_SECONDS)
-        self._told, self._failed = on_list, on_failure
-        self._asked = anyio.Event()
-        self._unasked = auto_restart
-        self._heard = 0  # answers
+        self._wait_seconds = min(max(watch_renewal_period / 1e6 * WAIT_FRACTION, 1.0), MAX_WAIT_SECONDS)
+        self._on_list = on_list
+        self._on_failure = on_failure
+        self._auto_restart = auto_restart
+        self._requested = anyio.Event()
+        self._answer_count = 0
         self._watching: anyio.CancelScope | None = None
 
     def start_watch(self) -> None:
-        """Start the watch; one that runs goes on."""
-        self._asked.set()
+        """Start the watch; no effect on one that runs."""
+        self._requested.set()
 
     def set_address(self, address: Address) -> None:
-        """Ask at another address from now on, at once and for the whole list."""
+        """Watch at another address from now on, at once and beginning with the complete list."""
         self._address, self._since = address, None
-        self._asked.set()
+        self._requested.set()
         if self._watching:
             self._watching.cancel()
 
     async def run(self) -> None:
-        """Watch whenever it is asked for."""
-        back_off = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
+        """Watch whenever it is requested."""
+        backoff = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         while True:
-            if self._unasked:
-                self._asked.set()
-            await self._asked.wait()
-            why, heard = "failed", self._heard
+            if self._auto_restart:
+                self._requested.set()
+            await self._requested.wait()
+            why, answers_before = "failed", self._answer_count
             with anyio.CancelScope() as scope:
                 self._watching = scope
                 try:
                     why = await self._watch(scope)
-                except Exception:
+                except Exception:  # a task boundary: the next watch may go better
                     _log.exception("watch failed")
-                if scope.cancel_called:  # moved: it goes on elsewhere
+                if scope.cancel_called:  # the address has changed
                     continue
                 _log.info("watch ended", why=why)
-                self._asked = anyio.Event()
-                self._failed()
-                if self._unasked:
-                    # Danger: outside the scope a move would wait for the rest to end, and pushed lists count
-                    # as told meanwhile.
-                    await back_off.sleep(self._heard > heard)
+                self._requested = anyio.Event()
+                self._on_failure()
+                if self._auto_restart:
+                    # Inside the scope, so that a new address need not wait for the end of the pause.
+                    await backoff.sleep(self._answer_count > answers_before)
 
     async def _watch(self, scope: anyio.CancelScope) -> str:
+        """Watch until it fails; the reason."""
         try:
             while True:
                 async with open_stream(self._address) as stream:
-                    if (why := await self._calls(stream, scope)) is not None:
+                    if (why := await self._run_calls(stream, scope)) is not None:
                         return why
         except (OSError, *STREAM_ERRORS) as error:
             return repr(error)
 
-    async def _calls(self, stream: Stream, scope: anyio.CancelScope) -> str | None:
+    async def _run_calls(self, stream: Stream, scope: anyio.CancelScope) -> str | None:
         """Call after call on one connection; why the watch ended, or None where only the connection did."""
         watch, answered = Watch(str(self._address)), False
         while True:
             answer = await self._call(stream, watch)
             if answer is None:
-                # Danger: a watch that has fallen silent has to be opened anew before what it misses counts as
-                # told, and a failure that is told waits for the module to ask again.
+                # A watch that has fallen silent is opened anew at once: a failure would wait for the next
+                # request to watch, and what was missed meanwhile counts as received.
                 return None if answered else "no answer in time"
             if isinstance(answer, CallFailed):
                 return answer.why
             answered = True
-            # Danger: an answer may be read already as the watch moves. It counts as told, but its version is
-            # the old service's, and of the new one the whole list is wanted.
+            # The answer may have been read just as the address changed. It still counts, but its generation
+            # is the old service's, and of the new one the complete list is wanted.
             moved = scope.cancel_called
             if not moved:
                 self._since = answer.generation
-            self._heard += 1
-            # Danger: the next call has to be out within 200 ms, whatever the news set off.
-            self._told(answer)
+            self._answer_count += 1
+            self._on_list(answer)  # the next call has to go out within 200 ms of the answer
             if moved:
                 return "moved"
             if not watch.reusable:
@@ -119,8 +113,8 @@
 
     async def _call(self, stream: Stream, watch: Watch) -> Listing | CallFailed | None:
         """One call's answer; None where none comes in time."""
-        with anyio.move_on_after(self._wait + RESPONSE_GRACE_SECONDS):
-            await stream.send(watch.call(self._since, int(self._wait * 1000)))
+        with anyio.move_on_after(self._wait_seconds + RESPONSE_GRACE_SECONDS):
+            await stream.send(watch.call(self._since, int(self._wait_seconds * 1000)))
             while True:
                 try:
                     data = await stream.receive()
--- a/frostfall/net/engine_driver.py
+++ b/frostfall/net/engine_driver.py
@@ -23,7 +23,7 @@
         execute: Callable[[api.Action], None],
         on_fault: Callable[[api.Event], None],
     ) -> None:
-        """`execute` carries out an action; `on_fault` is told which event the engine failed on."""
+        """`execute` carries out an action; `on_fault` is called with the event that the engine failed on."""
         self._engine = engine
         self._clock = clock
         self._execute = execute
--- a/frostfall/net/gossip_transport.py
+++ b/frostfall/net/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Peers: one datagram a message."""
+"""Gossip between agents: one UDP datagram a message."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from frostfall import log
 from frostfall.config import Address
 
-MAX_DATAGRAM_BYTES = 256  # bytes: the protocol's limit; a longer one voids the run
-MAX_QUEUED_DATAGRAMS = 64  # datagrams: far more than a tick's; a late one is worth nothing
-SOCKET_RETRY_SECONDS = 0.1  # seconds: how long the socket rests after an error
+MAX_DATAGRAM_BYTES = 256  # the protocol's limit
+MAX_QUEUED_DATAGRAMS = 64  # far more than one tick's; a late one is worth nothing
+SOCKET_RETRY_SECONDS = 0.1  # until the socket is opened again after an error
 
 _log = log.get_logger("peers")
 
 
 class GossipTransport:
-    """Sends to agents by their numbers and tells what they send."""
+    """Owns the socket; sends to agents by their numbers and reports what they send."""
 
     def __init__(
         self,
@@ -29,8 +29,11 @@
         broadcast: Address | None,
         on_message: Callable[[int, str], None],
     ) -> None:
-        """Listen here; agents are numbered by their place in `peers`."""
-        self._listen, self._peers, self._everyone, self._told = listen, peers, broadcast, on_message
+        """Listen at `listen`; agents are numbered by their place in `peers`."""
+        self._listen = listen
+        self._peers = peers
+        self._broadcast = broadcast
+        self._on_message = on_message
         self._numbers = {(peer.host, peer.port): number for number, peer in enumerate(peers)}
         self._queue: deque[tuple[bytes, Address]] = deque(maxlen=MAX_QUEUED_DATAGRAMS)
         self._wake = anyio.Event()
@@ -38,30 +41,33 @@
     def send(self, peer: int | None, text: str) -> None:
         """Send one message to an agent, or to all with None; what cannot be sent is dropped."""
         data = text.encode()
-        target = (
-            self._everyone if peer is None else (self._peers[peer] if 0 <= peer < len(self._peers) else None)
-        )
+        target = self._target(peer)
         if target is None or len(data) > MAX_DATAGRAM_BYTES:
             _log.warning("message dropped", peer=peer, size=len(data))
             return
         self._queue.append((data, target))
         self._wake.set()
 
+    def _target(self, peer: int | None) -> Address | None:
+        if peer is None:
+            return self._broadcast
+        return self._peers[peer] if 0 <= peer < len(self._peers) else None
+
     async def run(self) -> None:
-        """Send and receive."""
+        """Send and receive, on a new socket after each failure of one."""
         while True:
             try:
                 async with (
                     await anyio.create_udp_socket(
                         family=socket.AF_INET, local_host=self._listen.host, local_port=self._listen.port
                     ) as udp,
-                    anyio.create_task_group() as group,
+                    anyio.create_task_group() as task_group,
                 ):
-                    group.start_soon(self._send, udp)
+                    task_group.start_soon(self._send_queued, udp)
                     async for data, (host, port) in udp:
                         self._receive(data, host, port)
-                    group.cancel_scope.cancel()
-            except Exception as error:
+                    task_group.cancel_scope.cancel()
+            except Exception as error:  # a task boundary: whatever failed, the next socket may work
                 _log.warning("socket failed", why=repr(error))
             await anyio.sleep(SOCKET_RETRY_SECONDS)
 
@@ -73,9 +79,9 @@
             text = data.decode()
         except UnicodeDecodeError:
             return
-        self._told(sender, text)
+        self._on_message(sender, text)
 
-    async def _send(self, udp: UDPSocket) -> None:
+    async def _send_queued(self, udp: UDPSocket) -> None:
         while True:
             while self._queue:
                 data, target = self._queue.popleft()
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -1,4 +1,4 @@
-"""Streams: opened within a time, read no further than asked, and the ways in which one ends."""
+"""TCP streams and listeners over non-blocking sockets, and the errors by which a stream ends."""
 
 from __future__ import annotations
 
@@ -16,61 +16,65 @@
 from frostfall.config import Address
 from frostfall.protocol.pg import READ_MOST
 
-LISTEN_BACKLOG = 512  # connections: a burst that comes while the one core is busy elsewhere
-CONNECT_TIMEOUT_SECONDS = 1.0  # seconds: a service that is cut off never accepts; appliances have settings
-MAX_DISCARD_READS = 8  # reads: who sends more than that unasked is not waited for
+LISTEN_BACKLOG = 512  # connections: a burst while the one core is busy elsewhere
+CONNECT_TIMEOUT_SECONDS = 1.0  # to services; upstream servers have a timeout in the settings
+MAX_DISCARD_READS = 8  # of READ_MOST bytes: a peer that sends more unasked is not waited for
 _INT = struct.Struct("i")
-_UNSENT, _NOT_SENT = termios.TIOCOUTQ, 0x894B  # SIOCOUTQ, SIOCOUTQNSD: tcp(7), linux/sockios.h
+_SIOCOUTQ = termios.TIOCOUTQ  # bytes not acknowledged: tcp(7)
+_SIOCOUTQNSD = 0x894B  # bytes never sent: linux/sockios.h
 _LINGER_NONE = struct.pack("ii", 1, 0)
 STREAM_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class SocketBudget:
-    """The descriptors that clients and appliances share."""
+    """The descriptors that clients' and upstream connections share."""
 
     def __init__(self, limit: int) -> None:
-        """So many at most."""
-        self.limit, self.used = limit, 0
+        """Allow `limit` descriptors."""
+        self.limit = limit
+        self.used = 0
 
     @property
     def exhausted(self) -> bool:
-        """Whether another needs one of these closed first."""
+        """Whether one has to be closed before another is opened."""
         return self.used >= self.limit
 
 
 class Backoff:
-    """Rests between tries that fail: doubling, with jitter, from the first again after one that went well."""
+    """Exponential backoff with jitter between attempts that fail; a success starts it anew."""
 
     def __init__(self, first: float, maximum: float) -> None:
-        """Rest for so many seconds at first, and at most."""
-        self._first, self._most, self._wait = first, maximum, first
+        """Sleep for up to `first` seconds, then doubling up to `maximum`."""
+        self._first = first
+        self._maximum = maximum
+        self._delay = first
 
     async def sleep(self, succeeded: bool) -> None:
-        """Rest before the next try."""
-        self._wait = self._first if succeeded else min(self._wait * 2, self._most)
-        await anyio.sleep(self._wait * random.uniform(0.5, 1.0))
+        """Sleep before the next attempt."""
+        self._delay = self._first if succeeded else min(self._delay * 2, self._maximum)
+        await anyio.sleep(self._delay * random.uniform(0.5, 1.0))
 
 
 class Stream:
-    """A TCP connection. Nothing is read ahead, and what is written goes out at once as far as it goes."""
+    """A TCP connection without buffers of its own: nothing is read ahead or kept back."""
 
     def __init__(self, raw: socket.socket) -> None:
-        """Speak over this socket, which is connected."""
+        """Take over a connected socket."""
         raw.setblocking(False)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._raw = raw
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """Bytes that the kernel holds and the peer's has not acknowledged; 0 where that is not told."""
-        return self._held(_UNSENT)
+        """Bytes that the kernel holds and the peer has not acknowledged; 0 if unknown."""
+        return self._queue_bytes(_SIOCOUTQ)
 
     @property
     def unsent_bytes(self) -> int:
-        """Those of them that the kernel has not sent for the first time; 0 where that is not told."""
-        return self._held(_NOT_SENT)
+        """Those of them that the kernel has never sent; 0 if unknown."""
+        return self._queue_bytes(_SIOCOUTQNSD)
 
-    def _held(self, request: int) -> int:
+    def _queue_bytes(self, request: int) -> int:
         try:
             return _INT.unpack(fcntl.ioctl(self._raw, request, bytes(_INT.size)))[0]  # type: ignore
         except OSError:
@@ -82,18 +86,18 @@
         return self._raw.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
     def limit_send_buffer(self, max_bytes: int) -> None:
-        """Let the kernel hold about so many bytes that are not sent, and no more."""
-        with suppress(OSError):  # the kernel takes twice what it is told, for what it needs around the bytes
+        """Let the kernel hold about so many bytes of output, and no more."""
+        with suppress(OSError):  # the kernel doubles the figure, for its own overhead
             self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, max_bytes // 2)
 
     def reset_on_close(self) -> None:
-        """Let the close that follows be a reset, which frees at once what the kernel still holds."""
+        """Make the coming close a reset, which frees at once what the kernel still holds."""
         with suppress(OSError):
             self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
 
     @property
     def is_quiet(self) -> bool:
-        """Whether nothing has come that is unread, not even the end."""
+        """Whether no input waits to be read, not even the end of the stream."""
         try:
             self._raw.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -103,7 +107,7 @@
         return False
 
     async def receive(self, max_bytes: int = READ_MOST) -> bytes:
-        """Up to so many bytes, once there are any; each call lets the others have their turn."""
+        """Up to `max_bytes`, once there are any; other tasks run first. At the end, one of STREAM_ERRORS."""
         while True:
             await anyio.wait_readable(self._raw)
             try:
@@ -117,7 +121,7 @@
             return data
 
     def write(self, data: bytes | bytearray | memoryview) -> int:
-        """Write what goes out without waiting; how many bytes that was."""
+        """Write what the kernel takes without waiting; how many bytes that was."""
         try:
             return self._raw.send(data)
         except BlockingIOError:
@@ -130,32 +134,32 @@
         await anyio.wait_writable(self._raw)
 
     async def send(self, data: bytes) -> None:
-        """Write all of it."""
+        """Write all data, waiting where the kernel takes no more."""
         sent = self.write(data)
         while sent < len(data):
             await self.wait_writable()
             sent += self.write(memoryview(data)[sent:])
 
     def discard_input(self) -> None:
-        """Read away what has come by now, up to a bound: bytes unread make a close a reset."""
+        """Read and drop what has come by now, up to a bound: with input unread, a close is a reset."""
         with suppress(OSError):
             for _ in range(MAX_DISCARD_READS):
                 if len(self._raw.recv(READ_MOST)) < READ_MOST:
                     return
 
     def shutdown_read(self) -> None:
-        """Let reading end after what has come by now."""
+        """End the input behind what has come by now."""
         with suppress(OSError):
             self._raw.shutdown(socket.SHUT_RD)
 
     def close(self) -> None:
-        """Close it now; who waits on it is told."""
+        """Close now; tasks that wait on the stream get ClosedResourceError."""
         anyio.notify_closing(self._raw)
         self._raw.close()
 
 
 def create_socket(address: Address) -> socket.socket:
-    """A TCP socket of this address's kind, which never waits."""
+    """A non-blocking TCP socket of this address's family."""
     raw = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET, socket.SOCK_STREAM)
     raw.setblocking(False)
     return raw
--- a/frostfall/program.py
+++ b/frostfall/program.py
@@ -1,4 +1,4 @@
-"""The program: one agent, until it is told to stop."""
+"""The program: one agent that runs until a signal stops it."""
 
 import os
 import signal
@@ -11,32 +11,32 @@
 
 
 async def serve(agent: Agent) -> str | None:
-    """Run the agent until it is told to stop; why it cannot listen, if so."""
+    """Run the agent until SIGTERM or SIGINT; why it cannot listen, if so."""
     fault: str | None = None
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        async with anyio.create_task_group() as group:
+        async with anyio.create_task_group() as task_group:
 
-            async def wait() -> None:
+            async def handle_signals() -> None:
                 async for number in signals:
                     if number == signal.SIGHUP:
                         reload(agent)
                     else:
                         agent.stop()
 
-            group.start_soon(wait)
+            task_group.start_soon(handle_signals)
             try:
                 await agent.run()
             except OSError as error:
                 fault = error.strerror or str(error)
-            group.cancel_scope.cancel()
-        # Danger: with the receiver gone a SIGHUP would end a process that is ending by itself, with a fault.
+            task_group.cancel_scope.cancel()
+        # Without the receiver, a SIGHUP would kill a process that is ending by itself.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     return fault
 
 
 def reload(agent: Agent) -> None:
-    """Take over the configuration as it is now; one that cannot be used changes nothing."""
+    """Adopt the configuration as it is now; an unusable one changes nothing."""
     try:
         agent.reload(config.load(os.environ))
     except config.ConfigError as error:
@@ -44,19 +44,19 @@
 
 
 def main() -> int:
-    """Read the configuration and serve; what stands in the way is one plain line."""
-    # Danger: a SIGHUP between the reading and the receiver would be lost, and with it the move that it tells
-    # of; from here on it waits for the receiver.
+    """Read the configuration and serve; errors go to standard error as one line."""
+    # A SIGHUP between reading the configuration and receiving signals would be lost, and with it a change of
+    # addresses; so from here on it stays pending until the receiver is up.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        told = config.load(os.environ)
+        loaded = config.load(os.environ)
     except config.ConfigError as error:
         sys.stderr.write(f"frostfall: {error}\n")
         return 2
-    log.configure(told.log_level)
-    with log.bind_agent_name(told.name):
-        fault = anyio.run(serve, Agent(told))
+    log.configure(loaded.log_level)
+    with log.bind_agent_name(loaded.name):
+        fault = anyio.run(serve, Agent(loaded))
     if fault:
-        sys.stderr.write(f"frostfall: listen: {told.listen}: {fault}\n")
+        sys.stderr.write(f"frostfall: listen: {loaded.listen}: {fault}\n")
         return 1
     return 0
