--- a/frostfall/net/recovery/log_replay.py
+++ b/frostfall/net/recovery/log_replay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 
 from frostfall import log
 from frostfall.net.consensus import ConsensusDriver
@@ -24,7 +24,6 @@
 OPEN_RECORD_BYTES = 1024  # bytes read of a record: an open operation has no answer, and a short name
 
 _log = log.get_logger("recovery")
-ReplicaAssignmentSource = Callable[[], ReplicaAssignment]
 
 
 class LogReplay:
@@ -40,9 +39,8 @@
         rollout: RolloutRelay,
         vote_holds: VoteHoldDriver,
         consensus: ConsensusDriver | None,
-        own_assignment: ReplicaAssignmentSource | None,
     ) -> None:
-        """`own_assignment` gives the replicas held in full; None where members hold none."""
+        """Each part owns some of the log's metadata records; `consensus` is None where it is off."""
         self._core = core
         self._incarnation = incarnation
         self._completeness = completeness
@@ -51,7 +49,6 @@
         self._rollout = rollout
         self._vote_holds = vote_holds
         self._consensus = consensus
-        self._own_assignment = own_assignment
         self._stored_assignment = ReplicaAssignment([], [])
 
     # ---- a new segment -----------------------------------------------------------------------------
@@ -74,8 +71,7 @@
         yield from self._rollout.records()
         yield from self._vote_holds.records()
         yield from self._endpoints.records()
-        if self._own_assignment:
-            yield self._own_assignment()
+        yield from self._completeness.assignment_records()
         if self._consensus:
             yield from self._consensus.stored_state()
 
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -172,7 +172,6 @@
             self._rollout,
             self._vote_holds,
             self._consensus,
-            self._replica_repair.assignment if self._replica_repair else None,
         )
 
     def _make_request_handler(self, clock: Callable[[], int]) -> None:
--- a/frostfall/net/recovery/record_completeness.py
+++ b/frostfall/net/recovery/record_completeness.py
@@ -56,6 +56,11 @@
         if self.reason or self.consensus_excluded:
             yield RecordIncomplete(self.detail, self.consensus_excluded)
 
+    def assignment_records(self) -> Iterable[MetadataRecord]:
+        """The replicas held in full, for the log."""
+        if self._scheduler:
+            yield ReplicaAssignment(self._scheduler.complete_owners, sorted(self._scheduler.zones))
+
     def apply_assignment(self, assignment: ReplicaAssignment, *, is_first_start: bool) -> None:
         """Compare the replicas that the log held in full with those assigned by the options."""
         if self._scheduler:
@@ -123,8 +128,7 @@
         self._incarnation.accept_present()
         self._majority_loss_reported = False
         self._core.changed.notify()
-        if self._scheduler:
-            assignment = ReplicaAssignment(self._scheduler.complete_owners, sorted(self._scheduler.zones))
+        for assignment in self.assignment_records():
             self._core.metadata.append(assignment)
         return self.save()
 
