--- a/frostfall/limits/throughput_monitor.py
+++ b/frostfall/limits/throughput_monitor.py
@@ -121,8 +121,11 @@
     longest_stall = 0.0
     previous = window_start
     for sample in samples:
-        longest_stall = max(longest_stall, sample.at - previous)
-        previous = max(sample.at, previous)
+        stall = sample.at - previous
+        if stall > 0:  # the first sample may be from before the window
+            previous = sample.at
+            if stall > longest_stall:
+                longest_stall = stall
     longest_stall = max(longest_stall, now - previous)
 
     elapsed = now - window_start
--- a/frostfall/limits/timer_wheel.py
+++ b/frostfall/limits/timer_wheel.py
@@ -111,15 +111,13 @@
 
     def _place(self, timer: Timer) -> None:
         due = max(timer.due_tick, self.tick)
-        slot = self._slot_of(due)
-        slot[timer] = None
-        timer._slot = slot
-
-    def _slot_of(self, due: int) -> dict[Timer, None]:
         ahead = due - self.tick
         for level in range(LEVEL_COUNT):
             if ahead < 1 << BITS_PER_LEVEL * (level + 1):
-                return self._levels[level][(due >> BITS_PER_LEVEL * level) & SLOT_MASK]
-        # Beyond the wheel: the slot that comes up last, from where it is placed anew.
-        last_slot = ((self.tick >> BITS_PER_LEVEL * (LEVEL_COUNT - 1)) - 1) & SLOT_MASK
-        return self._levels[-1][last_slot]
+                slot = self._levels[level][(due >> BITS_PER_LEVEL * level) & SLOT_MASK]
+                break
+        else:  # beyond the wheel: the slot that comes up last, from where it is placed anew
+            last_slot = ((self.tick >> BITS_PER_LEVEL * (LEVEL_COUNT - 1)) - 1) & SLOT_MASK
+            slot = self._levels[-1][last_slot]
+        slot[timer] = None
+        timer._slot = slot
