--- a/frostfall/cli.py
+++ b/frostfall/cli.py
@@ -61,9 +61,9 @@
     for path in sorted(files, key=lambda each: not each.endswith(".json5")):
         try:
             if path.endswith(".json5"):
-                options[path] = config.operator(config.read(path, "file"), path)
+                options[path] = config.parse_operator_file(config.read_file(path, "file"), path)
             else:
-                text = config.read(path, "file")
+                text = config.read_file(path, "file")
                 config.parse(text, os.environ)
                 for name, option in options.items():
                     try:
@@ -259,10 +259,12 @@
 def _members(operator: str, who: tuple[str, ...]) -> tuple[str, list[tuple[str, config.Address]]]:
     """The shared key, and the members that are named, or all."""
     try:
-        rules = config.operator(config.read(operator, "operator"), operator).group
+        rules = config.parse_operator_file(config.read_file(operator, "operator"), operator).group
         if rules is None:
             raise config.ConfigError(f"{operator}: group: there is no such section")
-        known = {member.name: config.address(member.address, "address") for member in rules.active_members}
+        known = {
+            member.name: config.parse_address(member.address, "address") for member in rules.active_members
+        }
         for name in who:
             if name not in known:
                 raise config.ConfigError(f"{name}: no member of {', '.join(known)}")
--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -56,9 +56,9 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    platform: Address | None
-    news: api.RolloutState | None
-    known: Listing
+    rollout_api: Address | None
+    initial_rollout: api.RolloutState | None
+    initial_endpoint_list: Listing
     settings: api.Settings
     log_level: str
     options: Options
@@ -83,7 +83,7 @@
     known: Listing = msgspec.field(default_factory=lambda: Listing(0, True, []))
 
 
-def address(text: str, key: str) -> Address:
+def parse_address(text: str, key: str) -> Address:
     """Read `host:port`."""
     host, _, port = text.rpartition(":")
     try:
@@ -105,7 +105,7 @@
 
 def _settings(conf: dict[str, Any]) -> api.Settings:
     try:
-        settings = decoder.decode(conf)
+        settings = decoder.decode_settings(conf)
     except decoder.SettingsError as error:
         raise ConfigError(str(error)) from None
     if not 0 <= settings.agent < settings.agents:
@@ -142,7 +142,7 @@
     return line, ".".join(way) or "the file", what
 
 
-def operator(text: bytes, name: str) -> Options:
+def parse_operator_file(text: bytes, name: str) -> Options:
     """Check an operator file, JSON5; ConfigError names the file, the line and the key."""
     import json5  # here, as only those who have such a file pay for it
 
@@ -183,7 +183,7 @@
             raise ConfigError(f"limits.{key}: {number} is out of range")
     if raw.limits.sockets < 64:
         raise ConfigError(f"limits.sockets: {raw.limits.sockets} is too few, 64 are needed")
-    peers = tuple(address(text, f"peers[{place}]") for place, text in enumerate(raw.peers))
+    peers = tuple(parse_address(text, f"peers[{place}]") for place, text in enumerate(raw.peers))
     if peers and len(peers) != settings.agents:
         raise ConfigError(f"peers: {len(peers)} addresses for settings.nInstances {settings.agents}")
     told: api.RolloutState | None = None
@@ -200,16 +200,18 @@
         raise ConfigError(f"FROSTFALL_LOG: {level!r} is none of {', '.join(log.LEVELS)}")
     return Config(
         name=name,
-        listen=address(raw.listen or environment.get("BALANCER_LISTEN", ""), "listen"),
-        discovery=address(raw.discovery or environment.get("BALANCER_DISCOVERY", ""), "discovery"),
+        listen=parse_address(raw.listen or environment.get("BALANCER_LISTEN", ""), "listen"),
+        discovery=parse_address(raw.discovery or environment.get("BALANCER_DISCOVERY", ""), "discovery"),
         seed=_seed(raw.seed),
         limits=raw.limits,
-        peer_listen=address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
+        peer_listen=parse_address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
         peers=peers,
-        peers_all=address(raw.peers_all, "peers_all") if raw.peers_all else None,
-        platform=address(raw.release_api.address, "release_api.address") if raw.release_api else None,
-        news=told,
-        known=raw.known,
+        peers_all=parse_address(raw.peers_all, "peers_all") if raw.peers_all else None,
+        rollout_api=parse_address(raw.release_api.address, "release_api.address")
+        if raw.release_api
+        else None,
+        initial_rollout=told,
+        initial_endpoint_list=raw.known,
         settings=settings,
         log_level=level,
         options=_checked(options or Options(), settings),
@@ -227,7 +229,7 @@
     return options
 
 
-def read(path: str, key: str) -> bytes:
+def read_file(path: str, key: str) -> bytes:
     """The bytes of a file that `key` names."""
     try:
         return Path(path).read_bytes()
@@ -241,5 +243,5 @@
     if not path:
         raise ConfigError("BALANCER_CONFIG: not set; it names the configuration's file")
     own = environment.get("FROSTFALL_OPERATOR")
-    options = operator(read(own, "FROSTFALL_OPERATOR"), own) if own else None
-    return parse(read(path, "BALANCER_CONFIG"), environment, options)
+    options = parse_operator_file(read_file(own, "FROSTFALL_OPERATOR"), own) if own else None
+    return parse(read_file(path, "BALANCER_CONFIG"), environment, options)
--- a/frostfall/model/member_config.py
+++ b/frostfall/model/member_config.py
@@ -66,5 +66,5 @@
         "settings": _SETTINGS,
         "seed": 7,
     }
-    options = config.operator(msgspec.json.encode({"group": group}), "model")
+    options = config.parse_operator_file(msgspec.json.encode({"group": group}), "model")
     return config.parse(msgspec.json.encode(raw), {}, options)
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -89,7 +89,7 @@
         )
         self.discovery = DiscoveryClient(
             config.discovery,
-            config.known.generation,
+            config.initial_endpoint_list.generation,
             config.settings.rules.watch_renewal_period,
             self.list_received,
             self._list_failed,
@@ -101,9 +101,9 @@
 
     def _make_rollout_client(self) -> RolloutClient | None:
         config, rollout = self.config, self.config.settings.rollout
-        if not (config.platform and rollout):
+        if not (config.rollout_api and rollout):
             return None
-        return RolloutClient(config.platform, rollout.vote_timeout, self.rollout_changed)
+        return RolloutClient(config.rollout_api, rollout.vote_timeout, self.rollout_changed)
 
     def _make_gossip_transport(self) -> GossipTransport | None:
         config = self.config
@@ -246,7 +246,11 @@
 
     def _apply_initial_state(self) -> None:
         """Adopt the endpoint list and the rollout's state that came with the configuration."""
-        listing, rollout_state, member = self.config.known, self.config.news, self._group_member
+        listing, rollout_state, member = (
+            self.config.initial_endpoint_list,
+            self.config.initial_rollout,
+            self._group_member,
+        )
         self._apply_list(member.usable_endpoints(listing) if member else listing, api.ServerListKind.CACHED)
         if rollout_state:
             (member.set_initial_rollout if member else self.post)(rollout_state)
--- a/frostfall/net/endpoints.py
+++ b/frostfall/net/endpoints.py
@@ -6,7 +6,7 @@
 
 from frostfall import interface as api
 from frostfall import log
-from frostfall.config import Address, ConfigError, address
+from frostfall.config import Address, ConfigError, parse_address
 from frostfall.protocol import entries
 from frostfall.protocol.listing import Listing
 
@@ -43,7 +43,7 @@
             if server.availability is api.Availability.REMOVED:
                 continue
             try:
-                self._addresses[server.id] = address(entry.host_port, entry.instance_id)
+                self._addresses[server.id] = parse_address(entry.host_port, entry.instance_id)
             except ConfigError as error:  # attempts to this server end as unreachable
                 _log.warning("unusable address", why=str(error))
         return event
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -150,7 +150,7 @@
         """The owners of what is recorded in the log, and those that bring it together."""
         core, rollout_settings = self._core, config.settings.rollout
         exposure_window = rollout_settings.exposure_window / MICROSECONDS if rollout_settings else 0.0
-        self._endpoints = EndpointCache(core, config.known, config.settings.zone)
+        self._endpoints = EndpointCache(core, config.initial_endpoint_list, config.settings.zone)
         self._rollout = RolloutRelay(core, handler)
         self._vote_holds = VoteHoldDriver(core)
         self._peer_recorder = PeerRecorder(core)
--- a/frostfall/net/reload.py
+++ b/frostfall/net/reload.py
@@ -26,13 +26,13 @@
     """Compare the configuration in use with a new one."""
     moved = ["discovery"] if new.discovery != current.discovery else []
     needs_restart = [key for key in RESTART_ONLY_KEYS if getattr(new, key) != getattr(current, key)]
-    platform = new.platform
-    if platform != current.platform:
+    platform = new.rollout_api
+    if platform != current.rollout_api:
         if has_rollout_client and platform:
             moved.append("release_api.address")
         else:
             needs_restart.append("release_api.address")
-            platform = current.platform
+            platform = current.rollout_api
     options = new.options
     if options.group != current.options.group:
         needs_restart.append("group")
@@ -41,8 +41,8 @@
     if slow_peers_changed:
         moved.append("slow_peers")
     return ReloadPlan(
-        config=replace(current, discovery=new.discovery, platform=platform, options=options),
-        rollout_address=new.platform if has_rollout_client else None,
+        config=replace(current, discovery=new.discovery, rollout_api=platform, options=options),
+        rollout_address=new.rollout_api if has_rollout_client else None,
         slow_peers_changed=slow_peers_changed,
         moved=moved,
         needs_restart=needs_restart,
--- a/frostfall/protocol/entries.py
+++ b/frostfall/protocol/entries.py
@@ -51,4 +51,6 @@
     """A load report; None where there is none."""
     if not text:
         return None
-    return settings.load({_LOAD_NAMES.get(name, name): value for name, value in load_values(text).items()})
+    return settings.decode_load_report(
+        {_LOAD_NAMES.get(name, name): value for name, value in load_values(text).items()}
+    )
--- a/frostfall/settings.py
+++ b/frostfall/settings.py
@@ -151,7 +151,7 @@
         raise SettingsError(f"unknown {what} {value!r}") from None
 
 
-def decode(conf: dict[str, Any]) -> api.Settings:
+def decode_settings(conf: dict[str, Any]) -> api.Settings:
     """The settings of an instance in the project's terms; SettingsError names the key at fault."""
     try:
         raw = msgspec.convert(conf, _Conf)
@@ -235,7 +235,7 @@
     )
 
 
-def load(report: dict[str, float] | None) -> api.LoadReport | None:
+def decode_load_report(report: dict[str, float] | None) -> api.LoadReport | None:
     """A load report in the project's terms."""
     if not report:
         return None
--- a/frostfall/simulator/codec.py
+++ b/frostfall/simulator/codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from frostfall import interface as api
-from frostfall.settings import load
+from frostfall.settings import decode_load_report
 from frostfall.simulator import messages as wire
 
 _LINE: msgspec.json.Decoder[wire.Line] = msgspec.json.Decoder(wire.Line)
@@ -107,7 +107,7 @@
                 outcome=_name(_OUTCOMES, message.ending, "ending"),
                 elapsed=message.cost_time_us,
                 final=message.final,
-                load=load(message.report),
+                load=decode_load_report(message.report),
             )
         case wire.Reminder():
             return api.TimerFired(message.ref)
@@ -137,7 +137,7 @@
                 server=message.appliance,
                 outcome=_name(_OUTCOMES, message.ending, "ending"),
                 elapsed=message.cost_time_us,
-                load=load(message.report),
+                load=decode_load_report(message.report),
             )
         case wire.CountsByBuild():
             return api.BuildTally(
