--- a/frostfall/settings.py
+++ b/frostfall/settings.py
@@ -1,7 +1,8 @@
-"""The settings of an instance, as its configuration or the simulator's first message gives them.
+"""Decodes an instance's settings, from its configuration file or from the simulator's first message.
 
-Both adapters read them here. Field names are the wire's own; unknown keys are skipped, and a missing or
-mistyped one is an error that names the key.
+The structs mirror the settings' objects: a field is named after its concept, and `name=` gives the key where
+the settings call it differently. Unknown keys are skipped; a missing or mistyped one is an error that names
+the key.
 """
 
 from __future__ import annotations
@@ -10,20 +11,22 @@
 from typing import Any, TypeVar
 
 import msgspec
+from msgspec import field
 
+from frostfall import deployment
 from frostfall import interface as api
 
 _T = TypeVar("_T")
 
-_EFFECTS = {
-    "safe": api.Idempotency.IDEMPOTENT,
-    "keyed": api.Idempotency.KEYED,
-    "unsafe": api.Idempotency.NON_IDEMPOTENT,
+_IDEMPOTENCY = {
+    "safe": deployment.Idempotency.IDEMPOTENT,
+    "keyed": deployment.Idempotency.KEYED,
+    "unsafe": deployment.Idempotency.NON_IDEMPOTENT,
 }
-_GROUPS = {
-    "all": api.DeduplicationScope.ALL,
-    "zone": api.DeduplicationScope.ZONE,
-    "cell": api.DeduplicationScope.CELL,
+_DEDUPLICATION_SCOPES = {
+    "all": deployment.DeduplicationScope.ALL,
+    "zone": deployment.DeduplicationScope.ZONE,
+    "cell": deployment.DeduplicationScope.CELL,
 }
 
 
@@ -31,219 +34,234 @@
     """The settings cannot be used; the message names the key."""
 
 
-class _Grade(msgspec.Struct, rename="camel"):
-    """A class of requests, as the settings give it."""
+class _RequestClass(msgspec.Struct, rename="camel"):
+    """A class of requests."""
 
     name: str
-    aim_us: int
+    latency_objective_us: int = field(name="aimUs")
     deadline_us: int
-    effect: str = "unsafe"
-    key_scope: str = "all"
-    key_ttl_us: int = 0
-    credit: float = 1.0
-    late_worth: float = 0.0
-    aim_stretch: float = 0.0
+    idempotency: str = field(default="unsafe", name="effect")
+    deduplication_scope: str = field(default="all", name="keyScope")
+    deduplication_window_us: int = field(default=0, name="keyTtlUs")
+    priority_weight: float = field(default=1.0, name="credit")
+    late_priority_weight: float = field(default=0.0, name="lateWorth")
+    latency_objective_stretch: float = field(default=0.0, name="aimStretch")
     stream: bool = False
 
 
-class _Customer(msgspec.Struct, rename="camel"):
-    """A tenant, as the settings give it."""
+class _Tenant(msgspec.Struct, rename="camel"):
+    """A customer of the site."""
 
     name: str
     quota_per_s: float = 0.0
     share: float = 0.0
 
 
-class _FamilyInfo(msgspec.Struct, rename="camel"):
-    """Facts about the rollout."""
+class _Rollout(msgspec.Struct, rename="camel"):
+    """How new builds are released."""
 
     control: str = "first_voice"
-    caps: list[float] = []
-    rings: list[float] = []
-    window_us: int = 1_000_000
-    uncounted: float = 0.0
-    per: str = "all"
-    closed_stages: int = 0
-    one_way: bool = False
-    swap: str = "parallel"
-    min_dwell_us: int = 0
-    step_us: int = 0
-    ayes_needed: int = 1
-    back_votes: int = 1
-    to_pause: int = 0
-    ballot_ttl_us: int = 0
-    api_timeout_us: int = 0
-    calls_per_s: float = 0.0
-    repeat_every_us: int = 0
-    sums_every_us: int = 0
-    sample: float = 0.0
-    flag_share: float = 0.0
+    stage_caps: list[float] = field(default_factory=list, name="caps")
+    stage_shares: list[float] = field(default_factory=list, name="rings")
+    exposure_window_us: int = field(default=1_000_000, name="windowUs")
+    uncounted_attempts: float = field(default=0.0, name="uncounted")
+    exposure_scope: str = field(default="all", name="per")
+    idempotent_only_stages: int = field(default=0, name="closedStages")
+    forward_only_keys: bool = field(default=False, name="oneWay")
+    server_replacement: str = field(default="parallel", name="swap")
+    min_stage_duration_us: int = field(default=0, name="minDwellUs")
+    stage_duration_us: int = field(default=0, name="stepUs")
+    advance_votes: int = field(default=1, name="ayesNeeded")
+    rollback_votes: int = field(default=1, name="backVotes")
+    hold_votes: int = field(default=0, name="toPause")
+    vote_lifetime_us: int = field(default=0, name="ballotTtlUs")
+    vote_timeout_us: int = field(default=0, name="apiTimeoutUs")
+    votes_per_s: float = field(default=0.0, name="callsPerS")
+    state_period_us: int = field(default=0, name="repeatEveryUs")
+    tally_period_us: int = field(default=0, name="sumsEveryUs")
+    tally_sample_rate: float = field(default=0.0, name="sample")
+    dispute_report_share: float = field(default=0.0, name="flagShare")
     delay_price: float = 0.0
-    blast_price: float = 0.0
-    warm_keys: bool = False
+    harm_price: float = field(default=0.0, name="blastPrice")
+    key_affinity: bool = field(default=False, name="warmKeys")
 
 
-class _Bounds(msgspec.Struct, rename="camel"):
+class _Limits(msgspec.Struct, rename="camel"):
     """What the site permits."""
 
     max_attempts: int = 1
-    parallel_tries: bool = False
+    parallel_attempts: bool = field(default=False, name="parallelTries")
     may_cancel: bool = False
-    probes: bool = False
-    peers: bool = False
+    health_checks: bool = field(default=False, name="probes")
+    gossip: bool = field(default=False, name="peers")
     retry_after: bool = False
     max_retry_after_us: int = 0
     connect_timeout_us: int = 250_000
-    conn_idle_us: int = 15_000_000
+    connection_idle_timeout_us: int = field(default=15_000_000, name="connIdleUs")
 
 
-class _WireRules(msgspec.Struct, rename="camel"):
-    """The numbers of the rules."""
+class _Rules(msgspec.Struct, rename="camel"):
+    """The site's rules, by which the agent is judged."""
 
-    grace_to_answer_us: int = 0
-    stop_sending_within_us: int = 0
-    ask_every_us: int = 0
-    cold_from: float = 1.0
-    warm_up_us: int = 0
-    fall_multiple: float = 1.0
-    fall_us: int = 1_000_000
+    answer_slack_us: int = field(default=0, name="graceToAnswerUs")
+    drain_grace_us: int = field(default=0, name="stopSendingWithinUs")
+    watch_renewal_period_us: int = field(default=0, name="askEveryUs")
+    warm_up_initial_share: float = field(default=1.0, name="coldFrom")
+    warm_up_duration_us: int = field(default=0, name="warmUpUs")
+    overload_multiple: float = field(default=1.0, name="fallMultiple")
+    overload_window_us: int = field(default=1_000_000, name="fallUs")
 
 
-class _WirePrices(msgspec.Struct, rename="camel"):
+class _Prices(msgspec.Struct, rename="camel"):
     """The site's deductions."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
-    probe: float = 0.0
-    peer: float = 0.0
-    late_fail: float = 0.0
+    health_check: float = field(default=0.0, name="probe")
+    gossip: float = field(default=0.0, name="peer")
+    late_failure: float = field(default=0.0, name="lateFail")
 
 
-class _Report(msgspec.Struct, rename="camel"):
-    """Where load values come from."""
+class _LoadReporting(msgspec.Struct, rename="camel"):
+    """How servers report their load."""
 
     how: str = "off"
-    fields: list[str] = []
+    fields: list[str] = field(default_factory=list)
 
 
-class _Conf(msgspec.Struct, rename="camel"):
+class _Settings(msgspec.Struct, rename="camel"):
     """The settings of an instance."""
 
     ordinal: int
-    n_instances: int
-    grades: list[_Grade]
+    instance_count: int = field(name="nInstances")
+    classes: list[_RequestClass] = field(name="grades")
     zone: str = ""
-    bounds: _Bounds = msgspec.field(default_factory=_Bounds)
-    rules: _WireRules = msgspec.field(default_factory=_WireRules)
-    prices: _WirePrices = msgspec.field(default_factory=_WirePrices)
-    report: _Report = msgspec.field(default_factory=_Report)
-    customers: list[_Customer] = []
+    limits: _Limits = field(default_factory=_Limits, name="bounds")
+    rules: _Rules = field(default_factory=_Rules)
+    prices: _Prices = field(default_factory=_Prices)
+    load_reporting: _LoadReporting = field(default_factory=_LoadReporting, name="report")
+    tenants: list[_Tenant] = field(default_factory=list, name="customers")
     discovery: str = "automatic"
     family: str = ""
-    family_info: _FamilyInfo | None = None
-    over_share_worth: float = 1.0
+    rollout: _Rollout | None = field(default=None, name="familyInfo")
+    over_quota_priority_weight: float = field(default=1.0, name="overShareWorth")
 
 
-def _known(table: dict[str, _T], value: str, what: str) -> _T:
-    try:
-        return table[value]
-    except KeyError:
-        raise SettingsError(f"unknown {what} {value!r}") from None
-
-
-def decode_settings(conf: dict[str, Any]) -> api.Settings:
+def decode_settings(content: dict[str, Any]) -> deployment.Settings:
     """The settings of an instance in the project's terms; SettingsError names the key at fault."""
     try:
-        raw = msgspec.convert(conf, _Conf)
+        raw = msgspec.convert(content, _Settings)
     except msgspec.MsgspecError as error:
         raise SettingsError(f"settings: {error}") from error
-    bounds, rules, prices = raw.bounds, raw.rules, raw.prices
-    return api.Settings(
+    return deployment.Settings(
         agent=raw.ordinal,
-        agents=max(1, raw.n_instances),
+        agents=max(1, raw.instance_count),
         zone=raw.zone,
-        classes=tuple(
-            api.RequestClass(
-                name=grade.name,
-                idempotency=_known(_EFFECTS, grade.effect, "effect"),
-                deduplication_scope=_known(_GROUPS, grade.key_scope, "key scope"),
-                deduplication_window=grade.key_ttl_us,
-                latency_objective=grade.aim_us,
-                deadline=grade.deadline_us,
-                priority_weight=grade.credit,
-                late_priority_weight=grade.late_worth,
-                latency_objective_stretch=grade.aim_stretch,
-                stream=grade.stream,
-            )
-            for grade in raw.grades
-        ),
-        tenants=tuple(api.Tenant(c.name, c.quota_per_s, c.share) for c in raw.customers),
-        rollout=_rollout(raw.family_info) if raw.family_info and raw.family_info.caps else None,
-        limits=api.Limits(
-            max_attempts=bounds.max_attempts,
-            parallel_attempts=bounds.parallel_tries,
-            may_cancel=bounds.may_cancel,
-            health_checks=bounds.probes,
-            gossip=bounds.peers,
-            retry_after=bounds.retry_after,
-            max_retry_after=bounds.max_retry_after_us,
-            connect_timeout=bounds.connect_timeout_us,
-            connection_idle_timeout=bounds.conn_idle_us,
-        ),
-        rules=api.Rules(
-            answer_slack=rules.grace_to_answer_us,
-            drain_grace=rules.stop_sending_within_us,
-            watch_renewal_period=rules.ask_every_us,
-            warm_up_initial_share=rules.cold_from,
-            warm_up_duration=rules.warm_up_us,
-            overload_multiple=rules.fall_multiple,
-            overload_window=rules.fall_us,
+        classes=tuple(_request_class(each) for each in raw.classes),
+        tenants=tuple(
+            deployment.Tenant(tenant.name, tenant.quota_per_s, tenant.share) for tenant in raw.tenants
         ),
-        prices=api.Prices(prices.cross_zone, prices.waste, prices.probe, prices.peer, prices.late_fail),
+        rollout=_rollout(raw.rollout) if raw.rollout and raw.rollout.stage_caps else None,
+        limits=_limits(raw.limits),
+        rules=_rules(raw.rules),
+        prices=_prices(raw.prices),
         needs_watch=raw.discovery == "subscribe",
-        load_by_health_check=raw.report.how == "on_probe",
-        over_quota_priority_weight=raw.over_share_worth,
-    )
-
-
-def _rollout(info: _FamilyInfo) -> api.RolloutSettings:
-    return api.RolloutSettings(
-        control=api.RolloutControl.AUTOMATIC if info.control == "automatic" else api.RolloutControl.VOTES,
-        stage_caps=tuple(info.caps),
-        stage_shares=tuple(info.rings),
-        exposure_window=info.window_us,
-        uncounted_attempts=info.uncounted,
-        exposure_per_class=info.per == "each_class",
-        idempotent_only_stages=info.closed_stages,
-        forward_only_keys=info.one_way,
-        keeps_old_servers=info.swap != "replace",
-        min_stage_duration=info.min_dwell_us,
-        stage_duration=info.step_us,
-        advance_votes=info.ayes_needed,
-        rollback_votes=info.back_votes,
-        hold_votes=info.to_pause,
-        vote_lifetime=info.ballot_ttl_us,
-        vote_timeout=info.api_timeout_us,
-        votes_per_second=info.calls_per_s,
-        state_period=info.repeat_every_us,
-        tally_period=info.sums_every_us,
-        tally_sample_rate=info.sample,
-        dispute_report_share=info.flag_share,
-        delay_price=info.delay_price,
-        harm_price=info.blast_price,
-        key_affinity=info.warm_keys,
+        load_by_health_check=raw.load_reporting.how == "on_probe",
+        over_quota_priority_weight=raw.over_quota_priority_weight,
     )
 
 
 def decode_load_report(report: dict[str, float] | None) -> api.LoadReport | None:
-    """A load report in the project's terms."""
+    """A load report in the project's terms; None where there is none. Values that cannot be are left out."""
     if not report:
         return None
-    known = {name: value for name, value in report.items() if math.isfinite(value) and value >= 0}
+    valid = {name: value for name, value in report.items() if math.isfinite(value) and value >= 0}
     return api.LoadReport(
-        in_flight=known.get("busy_reqs"),
-        queued=known.get("pending"),
-        cpu=known.get("cpu_share"),
-        service_time_ms=known.get("svc_ms"),
-        served_per_second=known.get("served_ps"),
+        in_flight=valid.get("busy_reqs"),
+        queued=valid.get("pending"),
+        cpu=valid.get("cpu_share"),
+        service_time_ms=valid.get("svc_ms"),
+        served_per_second=valid.get("served_ps"),
+    )
+
+
+def _look_up(table: dict[str, _T], value: str, what: str) -> _T:
+    try:
+        return table[value]
+    except KeyError:
+        raise SettingsError(f"unknown {what} {value!r}") from None
+
+
+def _request_class(raw: _RequestClass) -> deployment.RequestClass:
+    return deployment.RequestClass(
+        name=raw.name,
+        idempotency=_look_up(_IDEMPOTENCY, raw.idempotency, "effect"),
+        deduplication_scope=_look_up(_DEDUPLICATION_SCOPES, raw.deduplication_scope, "key scope"),
+        deduplication_window=raw.deduplication_window_us,
+        latency_objective=raw.latency_objective_us,
+        deadline=raw.deadline_us,
+        priority_weight=raw.priority_weight,
+        late_priority_weight=raw.late_priority_weight,
+        latency_objective_stretch=raw.latency_objective_stretch,
+        stream=raw.stream,
+    )
+
+
+def _limits(raw: _Limits) -> deployment.Limits:
+    return deployment.Limits(
+        max_attempts=raw.max_attempts,
+        parallel_attempts=raw.parallel_attempts,
+        may_cancel=raw.may_cancel,
+        health_checks=raw.health_checks,
+        gossip=raw.gossip,
+        retry_after=raw.retry_after,
+        max_retry_after=raw.max_retry_after_us,
+        connect_timeout=raw.connect_timeout_us,
+        connection_idle_timeout=raw.connection_idle_timeout_us,
+    )
+
+
+def _rules(raw: _Rules) -> deployment.Rules:
+    return deployment.Rules(
+        answer_slack=raw.answer_slack_us,
+        drain_grace=raw.drain_grace_us,
+        watch_renewal_period=raw.watch_renewal_period_us,
+        warm_up_initial_share=raw.warm_up_initial_share,
+        warm_up_duration=raw.warm_up_duration_us,
+        overload_multiple=raw.overload_multiple,
+        overload_window=raw.overload_window_us,
+    )
+
+
+def _prices(raw: _Prices) -> deployment.Prices:
+    return deployment.Prices(raw.cross_zone, raw.waste, raw.health_check, raw.gossip, raw.late_failure)
+
+
+def _rollout(raw: _Rollout) -> deployment.RolloutSettings:
+    automatic = raw.control == "automatic"
+    return deployment.RolloutSettings(
+        control=deployment.RolloutControl.AUTOMATIC if automatic else deployment.RolloutControl.VOTES,
+        stage_caps=tuple(raw.stage_caps),
+        stage_shares=tuple(raw.stage_shares),
+        exposure_window=raw.exposure_window_us,
+        uncounted_attempts=raw.uncounted_attempts,
+        exposure_per_class=raw.exposure_scope == "each_class",
+        idempotent_only_stages=raw.idempotent_only_stages,
+        forward_only_keys=raw.forward_only_keys,
+        keeps_old_servers=raw.server_replacement != "replace",
+        min_stage_duration=raw.min_stage_duration_us,
+        stage_duration=raw.stage_duration_us,
+        advance_votes=raw.advance_votes,
+        rollback_votes=raw.rollback_votes,
+        hold_votes=raw.hold_votes,
+        vote_lifetime=raw.vote_lifetime_us,
+        vote_timeout=raw.vote_timeout_us,
+        votes_per_second=raw.votes_per_s,
+        state_period=raw.state_period_us,
+        tally_period=raw.tally_period_us,
+        tally_sample_rate=raw.tally_sample_rate,
+        dispute_report_share=raw.dispute_report_share,
+        delay_price=raw.delay_price,
+        harm_price=raw.harm_price,
+        key_affinity=raw.key_affinity,
     )
