--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults, the operators' too."""
+"""Reads, checks and completes an agent's configuration and the operator file; faults raise ConfigError."""
 
 from __future__ import annotations
 
@@ -11,13 +11,19 @@
 
 import msgspec
 
+from frostfall import deployment, log
 from frostfall import interface as api
-from frostfall import log
-from frostfall import settings as decoder
 from frostfall.json5_locations import find_line, parse_path
+from frostfall.limits.options import SlowPeerOptions
 from frostfall.options import Options
 from frostfall.protocol import news
 from frostfall.protocol.listing import Listing
+from frostfall.settings import SettingsError, decode_settings
+
+MAX_PORT = 65535
+MIN_SOCKETS = 64
+DEFAULT_NAME = "agent"
+DEFAULT_LOG_LEVEL = "info"
 
 
 class ConfigError(Exception):
@@ -37,16 +43,16 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the machine allows."""
+    """The machine's resources that the agent may use."""
 
     cores: float = 1.0
     memory_mb: int = 192
-    sockets: int = 1024
+    sockets: int = 1024  # open file descriptors, at least MIN_SOCKETS
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that an agent is told."""
+    """The complete, checked configuration of one agent."""
 
     name: str
     listen: Address
@@ -59,17 +65,21 @@
     rollout_api: Address | None
     initial_rollout: api.RolloutState | None
     initial_endpoint_list: Listing
-    settings: api.Settings
+    settings: deployment.Settings
     log_level: str
     options: Options
 
 
-class _Platform(msgspec.Struct):
+class _RolloutApi(msgspec.Struct):
+    """Where the rollout API is, and the state of the rollout when the file was written."""
+
     address: str
     news: dict[str, Any] | None = None
 
 
-class _File(msgspec.Struct):
+class _ConfigFile(msgspec.Struct):
+    """The configuration file; the names of fields that are not renamed are its keys."""
+
     settings: dict[str, Any]
     name: str = ""
     listen: str = ""
@@ -79,169 +89,232 @@
     peer_listen: str = ""
     peers: list[str] = []
     peers_all: str = ""
-    release_api: _Platform | None = None
-    known: Listing = msgspec.field(default_factory=lambda: Listing(0, True, []))
+    rollout_api: _RolloutApi | None = msgspec.field(default=None, name="release_api")
+    endpoint_list: Listing = msgspec.field(default_factory=lambda: Listing(0, True, []), name="known")
+
+
+class _OperatorFile(msgspec.Struct, forbid_unknown_fields=True):
+    """The operator file; its section `group` is checked apart, as its type is loaded only where it is set."""
+
+    slow_peers: SlowPeerOptions | None = None
+    group: Any = None
+
+
+@dataclass(frozen=True, slots=True)
+class _KeyFault:
+    """What is wrong with one key of the operator file."""
+
+    line: int
+    key: str
+    reason: str
+
+
+def load(environment: Mapping[str, str]) -> Config:
+    """The configuration that the environment variables name; ConfigError if it cannot be used."""
+    path = environment.get("BALANCER_CONFIG")
+    if not path:
+        raise ConfigError("BALANCER_CONFIG: not set; it names the configuration's file")
+    operator_path = environment.get("FROSTFALL_OPERATOR")
+    options = None
+    if operator_path:
+        options = parse_operator_file(read_file(operator_path, "FROSTFALL_OPERATOR"), operator_path)
+    return parse(read_file(path, "BALANCER_CONFIG"), environment, options)
+
+
+def read_file(path: str, key: str) -> bytes:
+    """The content of a file; ConfigError names `key`, by which the path was given."""
+    try:
+        return Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"{key}: cannot read {path}: {error.strerror}") from None
+
+
+def parse(text: bytes, environment: Mapping[str, str], options: Options | None = None) -> Config:
+    """Check a configuration, JSON; environment variables and defaults fill in what it leaves out."""
+    file = _decode_config_file(text)
+    settings = _parse_settings(file.settings)
+    _check_limits(file.limits)
+    peers = _parse_peers(file.peers, settings)
+    initial_rollout = _parse_initial_rollout(file.rollout_api)
+    name = file.name or environment.get("BALANCER_NAME", DEFAULT_NAME)
+    options = options or Options()
+    _check_membership(name, options)
+    log_level = _parse_log_level(environment)
+    config = Config(
+        name=name,
+        listen=parse_address(file.listen or environment.get("BALANCER_LISTEN", ""), "listen"),
+        discovery=parse_address(file.discovery or environment.get("BALANCER_DISCOVERY", ""), "discovery"),
+        seed=_parse_seed(file.seed),
+        limits=file.limits,
+        peer_listen=_parse_optional_address(file.peer_listen, "peer_listen"),
+        peers=peers,
+        peers_all=_parse_optional_address(file.peers_all, "peers_all"),
+        rollout_api=_parse_rollout_api(file.rollout_api),
+        initial_rollout=initial_rollout,
+        initial_endpoint_list=file.endpoint_list,
+        settings=settings,
+        log_level=log_level,
+        options=options,
+    )
+    _check_class_names(options, settings)
+    return config
+
+
+def parse_operator_file(text: bytes, name: str) -> Options:
+    """Check an operator file, JSON5; ConfigError names the file, the line and the key."""
+    source, content = _decode_json5(text, name)
+    try:
+        file = msgspec.convert(content, _OperatorFile)
+        if file.group is None:
+            return Options(slow_peers=file.slow_peers)
+        # Imported here, so that an agent without a group does not load its modules.
+        from frostfall.group_options import GroupSection
+
+        group = msgspec.convert({"group": file.group}, GroupSection).group
+        return Options(slow_peers=file.slow_peers, group=group)
+    except msgspec.ValidationError as error:
+        fault = _locate_fault(source, str(error))
+        raise ConfigError(f"{name}, line {fault.line}: {fault.key}: {fault.reason}") from None
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Read `host:port`."""
+    """Read `host:port`, with the host an IP address; ConfigError names `key`."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError:
         raise ConfigError(f"{key}: {text!r} is no IP address and port") from None
-    if not 0 < number < 65536:
+    if not 0 < number <= MAX_PORT:
         raise ConfigError(f"{key}: port {number} is out of range")
     return Address(host.strip("[]"), number)
 
 
-def _seed(value: str | int) -> int:
+def _decode_config_file(text: bytes) -> _ConfigFile:
     try:
-        return int(value, 16) if isinstance(value, str) else value
-    except ValueError:
-        raise ConfigError(f"seed: {value!r} is no hexadecimal number") from None
+        return msgspec.json.decode(text, type=_ConfigFile)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise ConfigError(f"configuration: {error}") from None
 
 
-def _settings(conf: dict[str, Any]) -> api.Settings:
+def _parse_settings(content: dict[str, Any]) -> deployment.Settings:
     try:
-        settings = decoder.decode_settings(conf)
-    except decoder.SettingsError as error:
+        settings = decode_settings(content)
+    except SettingsError as error:
         raise ConfigError(str(error)) from None
     if not 0 <= settings.agent < settings.agents:
         raise ConfigError(f"settings.ordinal: {settings.agent} is not below nInstances, {settings.agents}")
     if not settings.classes:
         raise ConfigError("settings.grades: there are none")
-    for kind in settings.classes:
-        if not 0 < kind.latency_objective <= kind.deadline:
-            raise ConfigError(f"settings.grades: aimUs or deadlineUs of {kind.name!r} is out of range")
-    if settings.limits.max_attempts < 1:
-        raise ConfigError("settings.bounds.maxAttempts: at least 1 is needed")
-    for key, value in (
-        ("connectTimeoutUs", settings.limits.connect_timeout),
-        ("connIdleUs", settings.limits.connection_idle_timeout),
-    ):
-        if value <= 0:
-            raise ConfigError(f"settings.bounds.{key}: {value} is out of range")
+    for request_class in settings.classes:
+        if not 0 < request_class.latency_objective <= request_class.deadline:
+            raise ConfigError(
+                f"settings.grades: aimUs or deadlineUs of {request_class.name!r} is out of range"
+            )
+    _check_bounds(settings.limits)
     return settings
 
 
-def _at(text: str, message: str) -> tuple[int, str, str]:
-    """The line, the key and what is wrong with it, of a message that msgspec words."""
-    what, _, path = message.partition(" - at `")
-    way = list(parse_path(path.rstrip("`")))
-    inner, colon, rest = what.partition(": ")
-    if field := re.search(r"(unknown )?field `([^`]*)`", what):
-        way.append(field[2])
-        line, what = find_line(text, tuple(way)), "is no key here" if field[1] else "is missing"
-    elif colon and inner.isidentifier():  # a check of our own names the key first
-        way.append(inner)
-        line, what = find_line(text, tuple(way)), rest
-    else:
-        line = find_line(text, tuple(way))
-    return line, ".".join(way) or "the file", what
+def _check_bounds(limits: deployment.Limits) -> None:
+    if limits.max_attempts < 1:
+        raise ConfigError("settings.bounds.maxAttempts: at least 1 is needed")
+    if limits.connect_timeout <= 0:
+        raise ConfigError(f"settings.bounds.connectTimeoutUs: {limits.connect_timeout} is out of range")
+    if limits.connection_idle_timeout <= 0:
+        raise ConfigError(f"settings.bounds.connIdleUs: {limits.connection_idle_timeout} is out of range")
 
 
-def parse_operator_file(text: bytes, name: str) -> Options:
-    """Check an operator file, JSON5; ConfigError names the file, the line and the key."""
-    import json5  # here, as only those who have such a file pay for it
+def _check_limits(limits: Limits) -> None:
+    if limits.cores <= 0:
+        raise ConfigError(f"limits.cores: {limits.cores} is out of range")
+    if limits.memory_mb <= 0:
+        raise ConfigError(f"limits.memory_mb: {limits.memory_mb} is out of range")
+    if limits.sockets < MIN_SOCKETS:
+        raise ConfigError(f"limits.sockets: {limits.sockets} is too few, {MIN_SOCKETS} are needed")
 
-    try:
-        source = text.decode()
-        raw = json5.loads(source, allow_duplicate_keys=False, strict=True)
-    except RecursionError:
-        raise ConfigError(f"{name}: nested too deeply") from None
-    except ValueError as error:
-        where = re.match(r"<string>:(\d+) (.*)", str(error), re.DOTALL)
-        if where:
-            raise ConfigError(f"{name}, line {where[1]}: {where[2]}") from None
-        if again := re.search(r'[Dd]uplicate key "([^"]*)"', str(error)):
-            raise ConfigError(f"{name}: {again[1]}: stands twice in one object") from None
-        raise ConfigError(f"{name}: {error}") from None
-    try:
-        told = msgspec.convert(raw, Options)
-        if told.group is None:
-            return told
-        from frostfall.group_options import GroupSection  # as above
 
-        group = msgspec.convert({"group": told.group}, GroupSection).group
-        return msgspec.structs.replace(told, group=group)
-    except msgspec.ValidationError as error:
-        line, key, what = _at(source, str(error))
-        raise ConfigError(f"{name}, line {line}: {key}: {what}") from None
+def _parse_optional_address(text: str, key: str) -> Address | None:
+    return parse_address(text, key) if text else None
 
 
-def parse(text: bytes, environment: Mapping[str, str], options: Options | None = None) -> Config:
-    """Check a configuration and fill in defaults; the environment stands in for what it leaves out."""
-    try:
-        raw = msgspec.json.decode(text, type=_File)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ConfigError(f"configuration: {error}") from None
-    settings = _settings(raw.settings)
-    for key, number in (("cores", raw.limits.cores), ("memory_mb", raw.limits.memory_mb)):
-        if number <= 0:
-            raise ConfigError(f"limits.{key}: {number} is out of range")
-    if raw.limits.sockets < 64:
-        raise ConfigError(f"limits.sockets: {raw.limits.sockets} is too few, 64 are needed")
-    peers = tuple(parse_address(text, f"peers[{place}]") for place, text in enumerate(raw.peers))
+def _parse_peers(texts: list[str], settings: deployment.Settings) -> tuple[Address, ...]:
+    peers = tuple(parse_address(text, f"peers[{index}]") for index, text in enumerate(texts))
     if peers and len(peers) != settings.agents:
         raise ConfigError(f"peers: {len(peers)} addresses for settings.nInstances {settings.agents}")
-    told: api.RolloutState | None = None
-    if raw.release_api and raw.release_api.news is not None:
-        state = news.read(raw.release_api.news, api.VoteReply.NONE)
-        if isinstance(state, str):
-            raise ConfigError(f"release_api.news: {state}")
-        told = state
-    name = raw.name or environment.get("BALANCER_NAME", "agent")
-    if options and options.group and name not in [member.name for member in options.group.active_members]:
-        raise ConfigError(f"group.members: {name!r}, this agent's name, is not among those that are not gone")
-    level = environment.get("FROSTFALL_LOG", "info")
+    return peers
+
+
+def _parse_rollout_api(rollout_api: _RolloutApi | None) -> Address | None:
+    return parse_address(rollout_api.address, "release_api.address") if rollout_api else None
+
+
+def _parse_initial_rollout(rollout_api: _RolloutApi | None) -> api.RolloutState | None:
+    if rollout_api is None or rollout_api.news is None:
+        return None
+    state = news.read(rollout_api.news, api.VoteReply.NONE)
+    if isinstance(state, str):
+        raise ConfigError(f"release_api.news: {state}")
+    return state
+
+
+def _parse_seed(value: str | int) -> int:
+    try:
+        return int(value, 16) if isinstance(value, str) else value
+    except ValueError:
+        raise ConfigError(f"seed: {value!r} is no hexadecimal number") from None
+
+
+def _parse_log_level(environment: Mapping[str, str]) -> str:
+    level = environment.get("FROSTFALL_LOG", DEFAULT_LOG_LEVEL)
     if level not in log.LEVELS:
         raise ConfigError(f"FROSTFALL_LOG: {level!r} is none of {', '.join(log.LEVELS)}")
-    return Config(
-        name=name,
-        listen=parse_address(raw.listen or environment.get("BALANCER_LISTEN", ""), "listen"),
-        discovery=parse_address(raw.discovery or environment.get("BALANCER_DISCOVERY", ""), "discovery"),
-        seed=_seed(raw.seed),
-        limits=raw.limits,
-        peer_listen=parse_address(raw.peer_listen, "peer_listen") if raw.peer_listen else None,
-        peers=peers,
-        peers_all=parse_address(raw.peers_all, "peers_all") if raw.peers_all else None,
-        rollout_api=parse_address(raw.release_api.address, "release_api.address")
-        if raw.release_api
-        else None,
-        initial_rollout=told,
-        initial_endpoint_list=raw.known,
-        settings=settings,
-        log_level=level,
-        options=_checked(options or Options(), settings),
-    )
+    return level
+
 
+def _check_membership(name: str, options: Options) -> None:
+    """The agent's own name must be among the group's active members."""
+    if options.group and name not in [member.name for member in options.group.active_members]:
+        raise ConfigError(f"group.members: {name!r}, this agent's name, is not among those that are not gone")
 
-def _checked(options: Options, settings: api.Settings) -> Options:
-    """The operators' options, which must not name what the settings do not."""
-    known = {kind.name for kind in settings.classes}
-    if slow := options.slow_peers:
-        for side, names in (("clients", slow.clients.classes), ("servers", slow.servers.classes)):
-            for name in names:
-                if name not in known:
-                    raise ConfigError(f"slow_peers.{side}.classes.{name}: no class of the settings")
-    return options
 
+def _check_class_names(options: Options, settings: deployment.Settings) -> None:
+    """The options' request classes must all be named in the settings."""
+    if options.slow_peers is None:
+        return
+    known = {request_class.name for request_class in settings.classes}
+    slow_peers = options.slow_peers
+    for side, names in (("clients", slow_peers.clients.classes), ("servers", slow_peers.servers.classes)):
+        for name in names:
+            if name not in known:
+                raise ConfigError(f"slow_peers.{side}.classes.{name}: no class of the settings")
+
+
+def _decode_json5(text: bytes, name: str) -> tuple[str, Any]:
+    """The text of a JSON5 file and its content, which may be of any type."""
+    import json5  # imported here, so that an agent without an operator file does not load it
 
-def read_file(path: str, key: str) -> bytes:
-    """The bytes of a file that `key` names."""
     try:
-        return Path(path).read_bytes()
-    except OSError as error:
-        raise ConfigError(f"{key}: cannot read {path}: {error.strerror}") from None
+        source = text.decode()
+        return source, json5.loads(source, allow_duplicate_keys=False, strict=True)
+    except RecursionError:
+        raise ConfigError(f"{name}: nested too deeply") from None
+    except ValueError as error:
+        if position := re.match(r"<string>:(\d+) (.*)", str(error), re.DOTALL):
+            raise ConfigError(f"{name}, line {position[1]}: {position[2]}") from None
+        if duplicate := re.search(r'[Dd]uplicate key "([^"]*)"', str(error)):
+            raise ConfigError(f"{name}: {duplicate[1]}: stands twice in one object") from None
+        raise ConfigError(f"{name}: {error}") from None
 
 
-def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment points at."""
-    path = environment.get("BALANCER_CONFIG")
-    if not path:
-        raise ConfigError("BALANCER_CONFIG: not set; it names the configuration's file")
-    own = environment.get("FROSTFALL_OPERATOR")
-    options = parse_operator_file(read_file(own, "FROSTFALL_OPERATOR"), own) if own else None
-    return parse(read_file(path, "BALANCER_CONFIG"), environment, options)
+def _locate_fault(source: str, message: str) -> _KeyFault:
+    """The line, the key and the reason, from the message of msgspec's ValidationError."""
+    reason, _, path = message.partition(" - at `")
+    steps = list(parse_path(path.rstrip("`")))
+    checked_key, colon, checked_reason = reason.partition(": ")
+    if field := re.search(r"(unknown )?field `([^`]*)`", reason):
+        steps.append(field[2])
+        reason = "is no key here" if field[1] else "is missing"
+    elif colon and checked_key.isidentifier():  # from a __post_init__, which names the key first
+        steps.append(checked_key)
+        reason = checked_reason
+    return _KeyFault(find_line(source, tuple(steps)), ".".join(steps) or "the file", reason)
--- a/frostfall/options.py
+++ b/frostfall/options.py
@@ -1,20 +1,23 @@
-"""What operators set beyond what the platform tells: the sections of the operator file.
+"""The operator file's options, beyond the platform's configuration.
 
-Each section stands with its defaults in the package that goes by it. A section that is left out is switched
-off.
+Each section is defined, with its defaults, in the package that it configures. A section that is left out
+switches its feature off.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from frostfall.limits.options import SlowPeerOptions
 
+if TYPE_CHECKING:  # an agent without a group does not load its modules
+    from frostfall.group_options import GroupOptions
 
-class Options(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operator file. Without one, all is as these defaults say: nothing beyond the platform's own."""
+
+class Options(msgspec.Struct, frozen=True):
+    """The checked content of an operator file; the defaults stand for none."""
 
     slow_peers: SlowPeerOptions | None = None
-    group: Any = None  # a GroupOptions, checked by `config`: who has none does not load what it needs
+    group: GroupOptions | None = None
