--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -162,7 +162,8 @@
 
 def parse_operator_file(text: bytes, name: str) -> Options:
     """Check an operator file, JSON5; ConfigError names the file, the line and the key."""
-    source, content = _decode_json5(text, name)
+    source = _decode_text(text, name)
+    content = _decode_json5(source, name)
     try:
         file = msgspec.convert(content, _OperatorFile)
         if file.group is None:
@@ -289,13 +290,19 @@
                 raise ConfigError(f"slow_peers.{side}.classes.{name}: no class of the settings")
 
 
-def _decode_json5(text: bytes, name: str) -> tuple[str, Any]:
-    """The text of a JSON5 file and its content, which may be of any type."""
+def _decode_text(text: bytes, name: str) -> str:
+    try:
+        return text.decode()
+    except UnicodeDecodeError as error:
+        raise ConfigError(f"{name}: {error}") from None
+
+
+def _decode_json5(source: str, name: str) -> Any:
+    """The content of a JSON5 text, which may be of any type."""
     import json5  # imported here, so that an agent without an operator file does not load it
 
     try:
-        source = text.decode()
-        return source, json5.loads(source, allow_duplicate_keys=False, strict=True)
+        return json5.loads(source, allow_duplicate_keys=False, strict=True)
     except RecursionError:
         raise ConfigError(f"{name}: nested too deeply") from None
     except ValueError as error:
--- a/frostfall/settings.py
+++ b/frostfall/settings.py
@@ -185,7 +185,7 @@
     )
 
 
-def _look_up(table: dict[str, _T], value: str, what: str) -> _T:
+def _translate(table: dict[str, _T], value: str, what: str) -> _T:
     try:
         return table[value]
     except KeyError:
@@ -195,8 +195,8 @@
 def _request_class(raw: _RequestClass) -> deployment.RequestClass:
     return deployment.RequestClass(
         name=raw.name,
-        idempotency=_look_up(_IDEMPOTENCY, raw.idempotency, "effect"),
-        deduplication_scope=_look_up(_DEDUPLICATION_SCOPES, raw.deduplication_scope, "key scope"),
+        idempotency=_translate(_IDEMPOTENCY, raw.idempotency, "effect"),
+        deduplication_scope=_translate(_DEDUPLICATION_SCOPES, raw.deduplication_scope, "key scope"),
         deduplication_window=raw.deduplication_window_us,
         latency_objective=raw.latency_objective_us,
         deadline=raw.deadline_us,
--- a/frostfall/simulator/codec.py
+++ b/frostfall/simulator/codec.py
@@ -75,7 +75,7 @@
             cell=server.cell,
             size=server.size,
             started_at=server.started_at,
-            availability=_look_up(_AVAILABILITY, server.availability, "availability"),
+            availability=_translate(_AVAILABILITY, server.availability, "availability"),
         )
         for server in servers
     )
@@ -113,7 +113,7 @@
     return _ENCODER.encode(_fields(action) | {"agent": agent})
 
 
-def _look_up(table: dict[str, _T], value: str, what: str) -> _T:
+def _translate(table: dict[str, _T], value: str, what: str) -> _T:
     try:
         return table[value]
     except KeyError:
@@ -137,7 +137,7 @@
         request=message.request,
         attempt=message.attempt,
         server=message.server,
-        outcome=_look_up(_OUTCOMES, message.outcome, "ending"),
+        outcome=_translate(_OUTCOMES, message.outcome, "ending"),
         elapsed=message.elapsed,
         final=message.final,
         load=decode_load_report(message.load),
@@ -147,14 +147,14 @@
 def _health_check_ended(message: wire.HealthCheckEnded) -> api.HealthCheckEnded:
     return api.HealthCheckEnded(
         server=message.server,
-        outcome=_look_up(_OUTCOMES, message.outcome, "ending"),
+        outcome=_translate(_OUTCOMES, message.outcome, "ending"),
         elapsed=message.elapsed,
         load=decode_load_report(message.load),
     )
 
 
 def _server_list_updated(message: wire.ServerListUpdated, server_lists: ServerLists) -> api.ServerListUpdated:
-    kind = _look_up(_LIST_KINDS, message.kind, "kind of view")
+    kind = _translate(_LIST_KINDS, message.kind, "kind of view")
     if kind is api.ServerListKind.FAILED:
         return api.ServerListUpdated(kind, ())
     if message.server_list not in server_lists:
@@ -165,7 +165,7 @@
 def _rollout_state(message: wire.RolloutStateChanged) -> api.RolloutState:
     if not 0 <= message.phase < len(_PHASES):
         raise WireError(f"unknown progress {message.phase}")
-    reply = _look_up(_REPLIES, message.outcome, "ending")
+    reply = _translate(_REPLIES, message.outcome, "ending")
     return api.RolloutState(
         build=message.build,
         stage=message.stage,
