--- a/frostfall/protocol/news.py
+++ b/frostfall/protocol/news.py
@@ -1,14 +1,19 @@
-"""Where the newest build stands, in the platform's words, and the votes on it."""
+"""The rollout API's messages: the state of the newest build's rollout, and votes on it."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import msgspec
+from msgspec import field
 
 from frostfall import interface as api
 
-LISTEN, VERDICT, NEWS, PING = "listen", "verdict", "news", "ping"
+# Methods of the rollout API.
+LISTEN = "listen"
+VERDICT = "verdict"
+NEWS = "news"
+PING = "ping"
 
 _PHASES = {
     "canary": api.RolloutPhase.TRIAL,
@@ -29,31 +34,31 @@
 
 
 class State(msgspec.Struct):
-    """The platform's words for a build's state."""
+    """The state of a rollout, under the API's keys."""
 
-    release: int
-    tranche: int
-    mode: str
-    exposure: float
-    old_ms: float
+    build: int = field(name="release")
+    stage: int = field(name="tranche")
+    phase: str = field(name="mode")
+    cap: float = field(name="exposure")
+    age_ms: float = field(name="old_ms")
 
 
 def read(value: Any, reply: api.VoteReply) -> api.RolloutState | str:
-    """A state in the project's terms, or what is wrong with it."""
+    """A state in the project's terms, or what is wrong with it; `value` is JSON of any type."""
     try:
         state = msgspec.convert(value, State)
     except msgspec.MsgspecError as error:
         return str(error)
-    if state.mode not in _PHASES:
-        return f"unknown mode {state.mode!r} - at `$.mode`"
-    if not 0 <= state.exposure <= 1:
-        return f"{state.exposure} is no share - at `$.exposure`"
+    if state.phase not in _PHASES:
+        return f"unknown mode {state.phase!r} - at `$.mode`"
+    if not 0 <= state.cap <= 1:
+        return f"{state.cap} is no share - at `$.exposure`"
     return api.RolloutState(
-        build=state.release,
-        stage=state.tranche,
-        phase=_PHASES[state.mode],
-        cap=state.exposure,
-        age=max(int(state.old_ms * 1000), 0),
+        build=state.build,
+        stage=state.stage,
+        phase=_PHASES[state.phase],
+        cap=state.cap,
+        age=max(int(state.age_ms * 1000), 0),
         reply=reply,
     )
 
@@ -64,7 +69,7 @@
 
 
 def reply_to_error(message: str) -> api.VoteReply:
-    """What an error says of a vote: whatever it is, the vote was not carried out."""
+    """The reply to a vote that an error answered; whatever the error, the vote was not carried out."""
     return _REPLIES.get(message, api.VoteReply.ERROR)
 
 
--- a/frostfall/protocol/pg.py
+++ b/frostfall/protocol/pg.py
@@ -8,7 +8,9 @@
 from frostfall.protocol.buffer import Buffer
 
 PROTOCOL_3 = 196608
-CANCEL_REQUEST, SSL_REQUEST, GSSENC_REQUEST = 80877102, 80877103, 80877104
+CANCEL_REQUEST = 80877102  # codes that stand in place of a startup packet's protocol version
+SSL_REQUEST = 80877103
+GSSENC_REQUEST = 80877104
 STARTUP_MOST = 10_000  # bytes: what PostgreSQL itself allows a startup packet
 MESSAGE_MOST = 160 * 1024  # bytes: a value of 64 KiB written in hex, and the statement around it
 ANSWER_MOST = 72 * 1024  # bytes: a value of 64 KiB as it is, and what is around it
--- a/frostfall/protocol/pg_client.py
+++ b/frostfall/protocol/pg_client.py
@@ -131,7 +131,7 @@
         place = len(self._messages)
         if kind != (b"T", b"D", b"C")[place]:
             return self._break(Malformed.ORDER)
-        if not (_describes, _holds, _completes)[place](payload):
+        if not (_is_row_description, _is_data_row, _is_command_complete)[place](payload):
             return self._break(Malformed.VALUE)
         self._messages.append(pg.frame(kind, payload))
         if kind == b"C":
@@ -139,22 +139,22 @@
         return None
 
 
-def _describes(payload: bytes) -> bool:
-    """Whether it is a RowDescription of one column with a name, told in binary."""
+def _is_row_description(payload: bytes) -> bool:
+    """Whether it describes one named column in binary format."""
     name = payload.find(b"\0", 2)
     if payload[:2] != b"\0\x01" or name < 0 or len(payload) != name + 1 + _COLUMN.size:
         return False
     return bool(_COLUMN.unpack(payload[name + 1 :])[-1] == _BINARY)
 
 
-def _holds(payload: bytes) -> bool:
-    """Whether it is a DataRow of one value, not null, whose length fits."""
+def _is_data_row(payload: bytes) -> bool:
+    """Whether it holds one value, not null, whose length fits."""
     if len(payload) < _VALUE.size:
         return False
     columns, length = _VALUE.unpack(payload[: _VALUE.size])
     return bool(columns == 1 and length == len(payload) - _VALUE.size and length <= VALUE_MOST)
 
 
-def _completes(payload: bytes) -> bool:
-    """Whether it is the CommandComplete of a statement that gave one row."""
+def _is_command_complete(payload: bytes) -> bool:
+    """Whether the statement gave one row."""
     return _TAG.match(payload) is not None
