--- /dev/null
+++ b/tests/test_bench_programs.py
@@ -0,0 +1,18 @@
+"""The programs that the benches keep as text and run in processes of their own: no type checker reads them."""
+
+from __future__ import annotations
+
+from frostfall.bench import power_loss
+
+
+def test_a_filled_log_is_read_back_by_another_process() -> None:
+    assert power_loss.recovery(2000)["seconds"] > 0
+
+
+def test_the_record_index_is_compared_with_a_dict() -> None:
+    rows = power_loss.compare_index(1000)
+    assert [row["structure"] for row in rows] == ["index", "dict"]
+
+
+def test_commits_are_counted() -> None:
+    assert all(rate > 0 for rate in power_loss.commit_rate(0.1).values())
