--- a/frostfall/storage/log_recovery.py
+++ b/frostfall/storage/log_recovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
@@ -72,8 +72,11 @@
         self._on_metadata = on_metadata
         self.log = RecoveredLog(store_id)
 
-    def run(self, segment_numbers: Sequence[int], read_segment: Callable[[int], bytes]) -> None:
-        """Fill `log` from the existing segments, oldest first, up to the first one that is unusable."""
+    def run(self, segment_numbers: Sequence[int], read_segment: Callable[[int], bytes]) -> Iterator[None]:
+        """Fill `log` from the existing segments, oldest first, up to the first one that is unusable.
+
+        It yields after each segment, so that the progress can be shown.
+        """
         log = self.log
         oldest = self._find_oldest_segment(segment_numbers, read_segment)
         log.leftover_segments = [number for number in segment_numbers if number < oldest]
@@ -83,6 +86,7 @@
             if not log.condition.is_usable:
                 break
             self._recover_segment(number, read_segment(number), is_last=number == segment_numbers[-1])
+            yield
         if log.condition.is_usable and log.current_segment and log.oldest_segment not in log.segments:
             self._mark_unusable(LogCondition.CORRUPTED, f"segment {log.oldest_segment} is missing")
 
--- a/frostfall/storage/write_ahead_log.py
+++ b/frostfall/storage/write_ahead_log.py
@@ -106,7 +106,8 @@
         """
         recovery = LogRecovery(self.owner, self.store_id, self.index, on_metadata)
         try:
-            recovery.run(segment_numbers, read_segment)
+            for _ in recovery.run(segment_numbers, read_segment):
+                self._adopt(recovery.log)  # operators see how far the reading has come
         finally:
             # What was found is reported to operators even if a segment could not be read.
             self._adopt(recovery.log)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -128,6 +128,22 @@
         )
 
 
+def test_operators_see_how_far_the_reading_of_the_log_has_come() -> None:
+    files = Files()
+    for name in ("x", "y", "z"):  # each start begins a segment
+        log = files.read()
+        put(log, name)
+        files.carry_out(log)
+    log, seen = WriteAheadLog("a", StorageOptions()), list[int]()
+
+    def read_segment(number: int) -> bytes:
+        seen.append(log.segment_count)
+        return bytes(files.files[number])
+
+    log.recover(sorted(files.files), read_segment, lambda record: None)
+    assert seen == [0, 0, 1, 2] and log.segment_count == 3  # the newest one is looked at first
+
+
 def test_a_torn_tail_is_cut_off_before_anything_is_written_behind_it() -> None:
     files = written(["x"])
     files.files[1] += b"\xf5\x1e torn"
