--- a/frostfall/cli/group_commands.py
+++ b/frostfall/cli/group_commands.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from frostfall import config
-from frostfall.cli.member_report import MemberReport, format_report
+from frostfall.cli.member_report import CommandResult, MemberReport, format_report
 
 HOLD_COMMANDS = ("hold", "lift")
 
@@ -172,12 +172,16 @@
             faults += 1
             click.echo(f"{member.name}: not reached: {error}", err=True)
             continue
-        report = msgspec.convert(fields, MemberReport)
-        click.echo(msgspec.json.encode(fields) if as_json else format_report(report))
-        if not report.is_stored:
+        # As JSON a report is shown as it came, whichever version of the program the member runs.
+        text = (
+            msgspec.json.encode(fields) if as_json else format_report(msgspec.convert(fields, MemberReport))
+        )
+        click.echo(text)
+        result = msgspec.convert(fields, CommandResult)
+        if not result.is_stored:
             faults += 1
             click.echo(f"{member.name}: not on its disk, and gone with the next restart", err=True)
-        if command in HOLD_COMMANDS and not report.is_replicated:
+        if command in HOLD_COMMANDS and not result.is_replicated:
             faults += 1
             click.echo(f"{member.name}: on its own disk alone, as too few other members are heard", err=True)
     sys.exit(1 if faults else 0)
--- a/frostfall/cli/member_report.py
+++ b/frostfall/cli/member_report.py
@@ -35,6 +35,13 @@
     version: int
 
 
+class CommandResult(msgspec.Struct):
+    """What a report says of the command itself; a report without a word on it counts as carried out."""
+
+    is_stored: bool = field(default=True, name="kept")  # the command is on the member's disk
+    is_replicated: bool = field(default=True, name="copied")  # and on enough others'
+
+
 class MemberReport(msgspec.Struct):
     """What is shown of a report's fields; `name=` gives their names on the wire."""
 
@@ -54,8 +61,6 @@
     leader: str | msgspec.UnsetType | None = msgspec.UNSET  # unset where members keep no register
     term: int = 0
     register: dict[str, RegisterEntry] = field(default_factory=dict)
-    is_stored: bool = field(default=True, name="kept")  # the command is on the member's disk
-    is_replicated: bool = field(default=True, name="copied")  # and on enough others'
 
 
 def format_report(report: MemberReport) -> str:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+import json
 from pathlib import Path
+from typing import Any
 
 import pytest
 from click.testing import CliRunner
@@ -11,7 +13,9 @@
 from frostfall.cli import main
 from frostfall.json5_locations import find_line, parse_path
 from frostfall.limits.options import SlowPeerOptions
+from frostfall.net import member_transport
 from frostfall.options import Options
+from frostfall.protocol.member_messages import OperatorReport
 from tests.standins import configured
 
 ROOT = Path(__file__).parent.parent
@@ -89,3 +93,19 @@
     assert bad.exit_code == 2 and bad.output.count(": good") == 1
     assert f"{wrong}, line 1: slow_peers.log_every: 0 is not above 0" in bad.output
     assert "cannot read" in bad.output
+
+
+@pytest.mark.parametrize(("fields", "code"), [({"name": "n0"}, 0), ({"name": "n0", "kept": False}, 1)])
+def test_a_report_of_another_version_is_shown_as_json(
+    fields: dict[str, Any], code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def report(*_: Any) -> OperatorReport:
+        return OperatorReport(1, fields)
+
+    monkeypatch.setattr(member_transport, "send_operator_command", report)
+    path = tmp_path / "operator.json5"
+    path.write_text(
+        "{group: {data: 'd', key: 'sixteen letters!', members: [{name: 'n0', address: '127.0.0.1:1'}]}}"
+    )
+    shown = CliRunner().invoke(main, ["group", "status", "--json", "--operator", str(path)])
+    assert (shown.exit_code, json.loads(shown.stdout)) == (code, fields)
