--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -23,7 +23,6 @@
     DigestRequest,
     MemberMessage,
 )
-from frostfall.recovery.metadata import ReplicaAssignment
 from frostfall.recovery.operation_log import OperationLog
 from frostfall.replication.anti_entropy import MAX_RETRY_DELAY, AntiEntropyScheduler, SyncTask
 from frostfall.replication.digest_tree import (
@@ -101,10 +100,6 @@
         self.restored_operations = 0
         self.received_bytes = 0
 
-    def assignment(self) -> ReplicaAssignment:
-        """Return the metadata record of whose records are complete here."""
-        return ReplicaAssignment(self.scheduler.complete_owners, sorted(self.scheduler.zones))
-
     async def handle_compare(self, message: DigestRequest) -> MemberMessage:
         """Answer a peer's request."""
         return await self._server.answer(message)
