--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -234,7 +234,7 @@
         last, rollout, test = self.schedule.advance(now), self.settings.rollout, self.rollout_test.test
         if rollout is None:
             return
-        self.exchange.end_turn(last, test)
+        self.exchange.end_slot(last, test)
         if self.schedule.begins_round:
             self._end_round(now, test)
         if self.settings.limits.gossip and (message := self.exchange.message(test)):
--- a/frostfall/engine/request_lifecycle.py
+++ b/frostfall/engine/request_lifecycle.py
@@ -52,7 +52,7 @@
         group = self._exposure.group(request_class)
         request = self.by_name[event.request] = PendingRequest(event, request_class, now, group)
         self._retries.record_request()
-        self._exposure.log.record_taken(now, group)
+        self._exposure.log.record_admitted(now, group)
         self._statistics.times.record_hint(request_class.name, event.service_time_hint)
         yield api.SetTimer(max(left - ANSWER_MARGIN, 0), event.request)
         if self._placement.admits(request):
--- a/frostfall/mechanisms/__init__.py
+++ b/frostfall/mechanisms/__init__.py
@@ -1,1 +1,1 @@
-"""Building blocks of the policy that decide nothing: each is handed its numbers and keeps its own state."""
+"""Building blocks of the policy. They make no decisions; each receives its parameters and owns its state."""
--- a/frostfall/mechanisms/backoff.py
+++ b/frostfall/mechanisms/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential back-off."""
+"""Exponential backoff."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
     first: Microseconds
     longest: Microseconds
-    delay: Microseconds = 0  # the delay given last; 0 after a reset
+    delay: Microseconds = 0  # the last delay returned; 0 after a reset
 
     def next(self) -> Microseconds:
-        """The next delay."""
+        """Return the next delay."""
         self.delay = min(max(self.delay * 2, self.first), self.longest)
         return self.delay
 
     def reset(self) -> None:
-        """Begin again with the first delay."""
+        """Restart with the first delay."""
         self.delay = 0
--- a/frostfall/mechanisms/build_outcomes.py
+++ b/frostfall/mechanisms/build_outcomes.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class OutcomeCounts:
-    """Outcomes of one build and class; the recent ones decay by a part with each further outcome."""
+    """Counts of one build and class; each new outcome decays the recent counts by a constant factor."""
 
     recent: float = 0.0
     recent_failures: float = 0.0
@@ -17,15 +17,15 @@
 
 
 class BuildOutcomes:
-    """Counts by build and class; a build that was rolled back is no baseline for the next one."""
+    """Counts by build and class. A build that was rolled back is no baseline for the next build."""
 
     __slots__ = ("_retention", "by_class", "disputes", "rolled_back_build")
 
-    def __init__(self, *, memory: float) -> None:
-        """Recent counts remember so many outcomes."""
-        self._retention = 1 - 1 / memory
+    def __init__(self, *, decay_outcomes: float) -> None:
+        """Start without outcomes; recent counts decay to 1/e in `decay_outcomes` outcomes."""
+        self._retention = 1 - 1 / decay_outcomes
         self.by_class: dict[tuple[int, str], OutcomeCounts] = {}
-        self.disputes: dict[int, int] = {}  # answers that clients judged wrong, by build
+        self.disputes: dict[int, int] = {}  # answers that clients disputed, by build
         self.rolled_back_build = -1
 
     def record(self, build: int, class_name: str, failed: bool) -> None:
@@ -38,16 +38,16 @@
         counts.total += 1
 
     def baseline(self, build: int) -> int:
-        """The latest build before this one that was not rolled back; -1 where there is none."""
+        """Return the latest build before this one that was not rolled back, or -1 if there is none."""
         earlier = (other for other, _ in self.by_class if other < build and other != self.rolled_back_build)
         return max(earlier, default=-1)
 
     def of_class(self, build: int, class_name: str) -> OutcomeCounts:
-        """The counts of a build and class; zeros where there are none."""
+        """Return the counts of a build and class; zeros if there are none."""
         return self.by_class.get((build, class_name)) or OutcomeCounts()
 
     def as_baseline(self, build: int) -> RoundTotals:
-        """The recent outcomes of all classes of a build, as what a test of the next one is held against."""
+        """Return a build's recent outcomes over all classes, as the baseline of the next build's test."""
         rows = [counts for (other, _), counts in self.by_class.items() if other == build]
         return RoundTotals(
             baseline_outcomes=sum(counts.recent for counts in rows),
@@ -55,19 +55,19 @@
         )
 
     def total(self, build: int) -> float:
-        """All outcomes of a build."""
+        """Return the number of all outcomes of a build."""
         return sum(counts.total for (other, _), counts in self.by_class.items() if other == build)
 
     def record_dispute(self, build: int) -> None:
-        """Count an answer that a client judged wrong."""
+        """Count an answer that a client disputed."""
         self.disputes[build] = self.disputes.get(build, 0) + 1
 
     def is_obsolete(self, build: int, baseline: int) -> bool:
-        """Whether nothing of a build is needed any more, given the present baseline."""
+        """Return whether the counts of a build are no longer needed, given the current baseline."""
         return build < baseline or build == self.rolled_back_build
 
     def forget_obsolete(self, baseline: int) -> None:
-        """Drop the builds before the present baseline and the one that was rolled back."""
+        """Drop the builds before the current baseline and the build that was rolled back."""
         for build, class_name in list(self.by_class):
             if self.is_obsolete(build, baseline):
                 del self.by_class[build, class_name]
--- a/frostfall/mechanisms/exposure_log.py
+++ b/frostfall/mechanisms/exposure_log.py
@@ -1,4 +1,4 @@
-"""How many requests were taken and how many attempts sent to a build, within a sliding window."""
+"""Exposure to a build: requests admitted and attempts sent to the build within a sliding window."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 class ExposureCounts(NamedTuple):
     """Counts within the window."""
 
-    taken: int  # requests
+    admitted: int  # requests
     sent: int  # attempts at the build
 
 
 class ExposureLog:
-    """Counts by group of requests, and for attempts by build too."""
+    """Counts of requests by request group, and of attempts by build and request group."""
 
-    __slots__ = ("_restarts", "sent", "taken")
+    __slots__ = ("_restarts", "admitted", "sent")
 
     def __init__(self, window: Microseconds) -> None:
         """Start with nothing counted."""
-        self.taken = defaultdict[str, SlidingWindow](lambda: SlidingWindow(window))
+        self.admitted = defaultdict[str, SlidingWindow](lambda: SlidingWindow(window))
         self.sent = defaultdict[tuple[int, str], SlidingWindow](lambda: SlidingWindow(window))
         self._restarts: list[Microseconds] = []
 
-    def record_taken(self, now: Microseconds, group: str) -> None:
-        """Count a request."""
-        self.taken[group].record(now)
+    def record_admitted(self, now: Microseconds, group: str) -> None:
+        """Count an admitted request."""
+        self.admitted[group].record(now)
 
     def record_sent(self, now: Microseconds, build: int, group: str) -> None:
-        """Count an attempt."""
+        """Count an attempt at a server of the build."""
         self.sent[build, group].record(now)
 
     def withdraw_sent(self, time: Microseconds, build: int, group: str) -> None:
-        """Uncount an attempt that was counted at this time, if it is still within the window."""
+        """Undo the count of an attempt made at this time, if it is still within the window."""
         self.sent[build, group].remove(time)
 
     def restart_at(self, time: Microseconds) -> None:
-        """Forget from this time on the requests that were taken until then."""
+        """At this time, drop the counts of all requests admitted until then."""
         self._restarts.append(time)
 
     def counts(self, now: Microseconds, build: int, group: str) -> ExposureCounts:
-        """What counts now."""
+        """Return the counts within the window that ends now."""
         while self._restarts and now >= self._restarts[0]:
             self._restarts.pop(0)
-            self.taken.clear()
-        return ExposureCounts(self.taken[group].count(now), self.sent[build, group].count(now))
+            self.admitted.clear()
+        return ExposureCounts(self.admitted[group].count(now), self.sent[build, group].count(now))
 
     def builds(self) -> set[int]:
-        """The builds of which something is kept."""
+        """Return the builds that have counts."""
         return {build for build, _ in self.sent}
 
     def forget(self, build: int) -> None:
-        """Drop what is kept of a build."""
+        """Drop the counts of a build."""
         for key in [key for key in self.sent if key[0] == build]:
             del self.sent[key]
--- a/frostfall/mechanisms/fleet_statistics.py
+++ b/frostfall/mechanisms/fleet_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of servers, builds and request classes: exponentially weighted means that fade with time."""
+"""Statistics of servers, builds and request classes: exponentially weighted means that decay over time."""
 
 from __future__ import annotations
 
@@ -16,71 +16,73 @@
 
 @dataclass(frozen=True, slots=True)
 class StatisticsParameters:
-    """Weights of one value in a mean, bounds of values, and times in which something fades to 1/e."""
+    """Weights of one value in a mean, bounds of values, and times in which a statistic decays to 1/e."""
 
     error_weight: float  # in a server's error rate
     slowness_weight: float  # in a server's slowness
     fleet_weight: float  # of one server's value in a mean over servers
     time_weight: float  # in a class's mean response time
-    smallest_work: float  # that a client's hint can announce, relative to its class
-    largest_work: float
-    smallest_slowness: float  # that one response time can show
-    largest_slowness: float
-    unknown_time_share: float  # of the latency objective, expected where no response time is known
-    initial_queue_length: float  # mean of what waits at a server, before any load report
-    server_memory: Microseconds  # of a server's slowness and errors, which fade to the usual ones
-    rate_memory: Microseconds  # of the throughput
-    peak_memory: Microseconds  # of the most that a server carried
+    smallest_work: float  # lower bound of a service-time hint, relative to the mean hint of its class
+    largest_work: float  # upper bound of a service-time hint, relative to the mean hint of its class
+    smallest_slowness: float  # lower bound of the slowness in one response time
+    largest_slowness: float  # upper bound of the slowness in one response time
+    unknown_time_share: float  # of the latency objective; the expected time if no response time is known
+    initial_queue_length: float  # mean number of requests queued at a server, before any load report
+    server_decay_time: Microseconds  # of a server's slowness and error rate, which decay to their defaults
+    rate_decay_time: Microseconds  # of the throughput
+    peak_decay_time: Microseconds  # of the peak throughput of a server
 
 
 @dataclass(slots=True)
 class BuildProfile:
-    """Means over the servers of a build, against which each of them is held."""
+    """Means over the servers of a build, with which each of the servers is compared."""
 
     error_rate: float = 0.0
     slowness: float = 1.0
 
 
 class FleetStatistics:
-    """What one agent has learned of its fleet."""
+    """Statistics that one agent has gathered about its fleet."""
 
     def __init__(self, parameters: StatisticsParameters, servers: ServerList) -> None:
-        """Nothing is known yet."""
+        """Start without any data about these servers."""
         self._parameters = parameters
         self._servers = servers
-        self.throughput = Throughput(memory=parameters.rate_memory, peak_memory=parameters.peak_memory)
+        self.throughput = Throughput(
+            decay_time=parameters.rate_decay_time, peak_decay_time=parameters.peak_decay_time
+        )
         self.times = ServiceTimes(
             weight=parameters.time_weight,
             smallest_scale=parameters.smallest_work,
             largest_scale=parameters.largest_work,
         )
         self.profiles = defaultdict[int, BuildProfile](BuildProfile)  # by build
-        self.others_in_flight = 0.0  # mean of what servers report of other agents' requests
-        self.queue_length = parameters.initial_queue_length  # mean of what servers report to wait there
+        self.others_in_flight = 0.0  # mean of other agents' requests in flight, by servers' reports
+        self.queue_length = parameters.initial_queue_length  # mean of the queue lengths that servers report
 
     def served(self, now: Microseconds) -> float:
-        """Requests served a second of late."""
+        """Return the recent rate of requests served per second."""
         return self.throughput.update(now, len(self._servers.available))
 
     def expected_time(self, request: PendingRequest) -> float:
-        """The response time to expect, in microseconds."""
+        """Return the expected response time of a request, in microseconds."""
         request_class, hint = request.request_class, request.arrival.service_time_hint
         default = request_class.latency_objective * self._parameters.unknown_time_share
         return self.times.expected(request_class.name, hint, default=default)
 
     def record_end(self, now: Microseconds, server: ServerState, *, served: bool) -> None:
-        """An attempt has ended."""
-        server.fade(now, self._parameters.server_memory)
+        """Record the end of an attempt."""
+        server.fade(now, self._parameters.server_decay_time)
         self.throughput.record(now, len(self._servers.available), served=served)
 
     def record_error(self, server: ServerState, *, failed: bool) -> None:
-        """An attempt has failed or not, after `record_end`."""
+        """Record whether an attempt has failed; call `record_end` first."""
         parameters, profile = self._parameters, self.profiles[server.info.build]
         server.error_rate += parameters.error_weight * (failed - server.error_rate)
         profile.error_rate += parameters.fleet_weight * (server.error_rate - profile.error_rate)
 
     def record_time(self, request: PendingRequest, server: ServerState, elapsed: Microseconds) -> None:
-        """An attempt has taken so long, after `record_end`."""
+        """Record the response time of an attempt; call `record_end` first."""
         parameters, profile = self._parameters, self.profiles[server.info.build]
         slowness = elapsed / max(self.expected_time(request), 1.0)
         slowness = min(max(slowness, parameters.smallest_slowness), parameters.largest_slowness)
@@ -89,7 +91,7 @@
         self.times.record(request.request_class.name, elapsed)
 
     def record_load(self, now: Microseconds, server: ServerState, load: api.LoadReport | None) -> None:
-        """A server has told of its load, or not."""
+        """Record the load report of a server; without a report nothing changes."""
         if load is None:
             return
         weight = self._parameters.fleet_weight
@@ -102,12 +104,14 @@
             self.others_in_flight += weight * (server.others_in_flight - self.others_in_flight)
 
     def penalty(self, now: Microseconds, server: ServerState, max_excess_errors: float) -> float:
-        """The cost factor of a server that is slower or fails more often than others of its build."""
-        # Avoiding a failing build under test would end the evidence on it, and avoiding only the failing
-        # servers of its baseline would flatter that. So a server is held against others of its build.
+        """Return the cost factor of a server that is slower or fails more often than others of its build."""
+        # Avoiding a failing build under test would end the evidence about it, and avoiding only the failing
+        # servers of the baseline would make the baseline look too good. Each server is therefore compared
+        # with others of its build.
         profile = self.profiles[server.info.build]
-        retained = math.exp((server.learned_at - now) / self._parameters.server_memory)
-        # An agent that asks a server now and then forgets its errors before it meets the next.
+        retained = math.exp((server.learned_at - now) / self._parameters.server_decay_time)
+        # An agent that rarely sends requests to a server forgets its errors before it sees the next one, so
+        # the error rate shared by all agents counts as well.
         error_rate = max(server.error_rate * retained, server.shared_error_rate)
         errors = min(max(error_rate - profile.error_rate, 0.0), max_excess_errors)
         slowness = 1 + (server.slowness - 1) * retained
--- a/frostfall/mechanisms/poisson.py
+++ b/frostfall/mechanisms/poisson.py
@@ -1,4 +1,4 @@
-"""Bounds on counts that arrive at random."""
+"""Bounds on Poisson-distributed counts."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def safe_utilization(budget: float, deviations: float) -> float:
-    """The share of a budget that the mean of a Poisson count may use so that the count stays within it.
+    """Return the share of a budget that the mean of a Poisson count may use.
 
-    The count exceeds `budget` only by a chance of more than `deviations` standard deviations; 0 where the
-    budget is too small for any mean. `budget` must be above 0.
+    At this mean, a count above `budget` is a deviation of more than `deviations` standard deviations. The
+    share is 0 if the budget is too small for any mean. `budget` must be above 0.
     """
     squared = deviations**2
     share = 1 + (squared - deviations * math.sqrt(2 * budget + squared)) / budget
--- a/frostfall/mechanisms/server_list.py
+++ b/frostfall/mechanisms/server_list.py
@@ -1,4 +1,4 @@
-"""The servers that discovery lists, as one agent sees them."""
+"""The servers of the endpoint list, with the state that one agent has of each."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class StartTimes(Protocol):
-    """Estimates when listed servers started, by this agent's clock."""
+    """Estimates the start times of listed servers by this agent's clock."""
 
     def discovery_time_read(self, now: Microseconds, time: Microseconds) -> bool:
-        """Discovery has told the time; whether what was estimated before has to be estimated anew."""
+        """Record the time by discovery's clock; return whether earlier estimates have to be repeated."""
 
     def begin_update(self, now: Microseconds, kind: ServerListKind) -> None:
-        """A list, or a change of one, is about to be taken over."""
+        """Prepare for the estimates of an endpoint list, or of changes to one."""
 
     def estimate(self, now: Microseconds, listed_start: Microseconds) -> Microseconds:
-        """When a server started that is listed for the first time now; 0: long ago."""
+        """Return the estimated start time of a server that is newly listed; 0 means long ago."""
 
 
 class ServerList:
-    """All listed servers by id, and those that are up in this agent's own random order."""
+    """All listed servers by id, and the available ones in this agent's own random order."""
 
     __slots__ = ("_ejection", "_random", "_start_times", "_withdrawn", "available", "by_id")
 
@@ -39,19 +39,22 @@
         ejection: Callable[[], ExponentialBackoff],
         start_times: StartTimes | None = None,
     ) -> None:
-        """Start without servers; `ejection` makes the back-off of each server's ejections.
+        """Start without servers; `ejection` creates the backoff of each server's ejections.
 
-        Without `start_times`, listed starts are taken for times of this agent's clock.
+        Without `start_times`, listed start times are used as times of this agent's clock.
         """
         self._random = source
         self._ejection = ejection
         self._start_times = start_times
         self.by_id: dict[int, ServerState] = {}
-        self._withdrawn: dict[int, api.Server] = {}  # by id: what the list itself says of them
+        self._withdrawn: dict[int, api.Server] = {}  # by id: their entries in the endpoint list
         self.available: list[ServerState] = []
 
     def update(self, now: Microseconds, kind: ServerListKind, entries: tuple[api.Server, ...]) -> list[int]:
-        """Take over a list or its changes; the ids of servers that left or that are new, or newly started."""
+        """Apply an endpoint list, or changes to it.
+
+        Return the ids of the entries whose servers are new, restarted or removed.
+        """
         if self._start_times:
             self._start_times.begin_update(now, kind)
         if kind is not ServerListKind.DELTA:
@@ -62,13 +65,16 @@
         return changed
 
     def discovery_time_read(self, now: Microseconds, time: Microseconds) -> None:
-        """Discovery has told the time by its own clock: this agent's may have been off when it estimated."""
+        """Record the time by discovery's clock.
+
+        Start times are estimated again if this shows that the agent's clock was wrong.
+        """
         if self._start_times and self._start_times.discovery_time_read(now, time):
             for server in self.by_id.values():
                 server.started_at = self._start_times.estimate(now, server.info.started_at)
 
     def withdraw(self, servers: set[int]) -> bool:
-        """Take exactly these servers out of use until they are listed again; whether that is a change."""
+        """Make exactly these servers unavailable until they are listed again; return whether that is new."""
         reinstated = self._withdrawn.keys() - servers
         for id in reinstated:
             listed = self._withdrawn.pop(id)
@@ -84,12 +90,12 @@
 
     @property
     def withdrawn(self) -> int:
-        """How many servers are out of use without the list saying so."""
+        """Number of servers that are withdrawn whatever their state in the endpoint list."""
         return len(self._withdrawn)
 
     @property
     def listed_up(self) -> int:
-        """How many servers the list itself says are up."""
+        """Number of servers that are up according to the endpoint list, including withdrawn ones."""
         return len(self.available) + sum(
             listed.availability is Availability.UP for listed in self._withdrawn.values()
         )
@@ -99,14 +105,15 @@
         self.available = sorted(up, key=lambda server: server.rank)
 
     def _update_entry(self, now: Microseconds, entry: api.Server) -> bool:
-        known = self.by_id.get(entry.id)
+        current = self.by_id.get(entry.id)
         if entry.availability is Availability.REMOVED:
             self.by_id.pop(entry.id, None)
             return True
-        if known and (known.info.started_at, known.info.build) == (entry.started_at, entry.build):
-            known.info = entry
+        if current and (current.info.started_at, current.info.build) == (entry.started_at, entry.build):
+            current.info = entry
             return False
-        # Agents together push a cold server over. By a random start, parts of a send add up.
+        # All agents together could overload a server that is warming up. The credits of the agents start at
+        # random values, so that the agents' partial sends add up to a small rate.
         rank, credit = self._random.random(), self._random.random()
         started_at = entry.started_at
         if self._start_times:
@@ -123,9 +130,9 @@
 
     @property
     def lowest_build(self) -> int:
-        """The lowest build of the listed servers, of which there must be some."""
+        """The lowest build of the listed servers. ValueError if there are no servers."""
         return min(server.info.build for server in self.by_id.values())
 
     def incarnations(self) -> set[ServerIncarnation]:
-        """All listed servers with their starts."""
+        """Return the ids and start times of all listed servers."""
         return {server.incarnation for server in self.by_id.values()}
--- a/frostfall/mechanisms/throughput.py
+++ b/frostfall/mechanisms/throughput.py
@@ -1,4 +1,4 @@
-"""An estimate of the requests served a second, from the times of their ends."""
+"""An estimate of the rate of served requests, from the times at which they ended."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class Throughput:
-    """Requests served a second, averaged with exponential decay, and the most that one server carried."""
+    """The rate of served requests, averaged with exponential decay, and the peak rate per server."""
 
-    __slots__ = ("_memory", "_peak_memory", "peak_per_server", "rate", "updated_at")
+    __slots__ = ("_decay_time", "_peak_decay_time", "peak_per_server", "rate", "updated_at")
 
-    def __init__(self, *, memory: Microseconds, peak_memory: Microseconds) -> None:
-        """Start from zero. The rate decays to 1/e in `memory`, the peak in `peak_memory`."""
-        self._memory = memory
-        self._peak_memory = peak_memory
-        self.rate = 0.0  # requests a second
-        self.peak_per_server = 0.0  # requests a second
+    def __init__(self, *, decay_time: Microseconds, peak_decay_time: Microseconds) -> None:
+        """Start from zero. The rate decays to 1/e in `decay_time`, the peak in `peak_decay_time`."""
+        self._decay_time = decay_time
+        self._peak_decay_time = peak_decay_time
+        self.rate = 0.0  # requests per second
+        self.peak_per_server = 0.0  # requests per second
         self.updated_at: Microseconds = 0
 
     def update(self, now: Microseconds, servers: int) -> float:
-        """The current rate, in requests a second, carried by this number of servers."""
+        """Return the current rate in requests per second; `servers` servers share it."""
         if now != self.updated_at:
             elapsed = self.updated_at - now
             self.updated_at = now
-            self.rate *= math.exp(elapsed / self._memory)
-            self.peak_per_server *= math.exp(elapsed / self._peak_memory)
+            self.rate *= math.exp(elapsed / self._decay_time)
+            self.peak_per_server *= math.exp(elapsed / self._peak_decay_time)
         self.peak_per_server = max(self.peak_per_server, self.rate / max(servers, 1))
         return self.rate
 
     def record(self, now: Microseconds, servers: int, *, served: bool) -> None:
-        """Count the end of an attempt, whether or not it served its request."""
-        self.rate = self.update(now, servers) + served * 1e6 / self._memory
+        """Record the end of an attempt; it counts if the attempt served its request."""
+        self.rate = self.update(now, servers) + served * 1e6 / self._decay_time
--- a/frostfall/mechanisms/token_bucket.py
+++ b/frostfall/mechanisms/token_bucket.py
@@ -1,22 +1,22 @@
-"""A token bucket whose tokens come with events instead of time."""
+"""A token bucket that is refilled by events instead of time."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Tokens that are earned in parts, saved up to a capacity and spent in parts."""
+    """A number of tokens, in fractions, up to a capacity."""
 
     __slots__ = ("_capacity", "tokens")
 
     def __init__(self, *, capacity: float, tokens: float) -> None:
-        """Start with `tokens` of at most `capacity`."""
+        """Start with `tokens` tokens; the bucket holds at most `capacity`."""
         self._capacity = capacity
         self.tokens = tokens
 
     def earn(self, amount: float) -> None:
-        """Add tokens; what exceeds the capacity is lost."""
+        """Add tokens; those above the capacity are lost."""
         self.tokens = min(self.tokens + amount, self._capacity)
 
     def spend(self, amount: float) -> None:
-        """Take tokens out. The caller has checked `tokens`; the balance may become negative."""
+        """Remove tokens. The caller has to check `tokens` before; the balance may become negative."""
         self.tokens -= amount
--- a/frostfall/mechanisms/watch_schedule.py
+++ b/frostfall/mechanisms/watch_schedule.py
@@ -1,4 +1,4 @@
-"""When the watch of the server list is started, renewed, and tried again after a failure."""
+"""The schedule of calls to discovery: when the server list watch is started, renewed and retried."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchParameters:
-    """The numbers of a watch, all in microseconds."""
+    """The parameters of a watch; times are in microseconds."""
 
-    retry_first: Microseconds
-    retry_longest: Microseconds  # while nobody else has a confirmation of the list
-    retry_shortest: Microseconds
-    spacing: Microseconds  # between the calls of all agents together
-    start_part: int  # of a renewal's time, into which the first calls are spread
+    initial_retry_delay: Microseconds
+    max_retry_delay: Microseconds  # while no peer has a confirmation of the list
+    min_retry_delay: Microseconds
+    call_spacing: Microseconds  # average time between two calls of any agents
+    initial_spread_divisor: int  # divides the window over which first calls are spread
 
 
 class WatchSchedule:
@@ -26,45 +26,48 @@
     def __init__(
         self, parameters: WatchParameters, *, agents: int, renewal: Microseconds, source: random.Random
     ) -> None:
-        """Without news a watch is renewed after `renewal`, or later where there are too many agents."""
+        """Create the schedule of one of `agents` agents.
+
+        A watch without updates is renewed after `renewal`, or later if there are too many agents for that.
+        """
         self._parameters = parameters
         self._random = source
-        self._crowd_window = min(agents * parameters.spacing, renewal)
-        self._first_within = self._crowd_window // parameters.start_part
-        self._renewal = max(renewal, agents * parameters.spacing)
-        longest = max(parameters.retry_longest, self._crowd_window)
-        self._backoff = ExponentialBackoff(parameters.retry_first, longest)
+        self._spread_window = min(agents * parameters.call_spacing, renewal)
+        self._initial_window = self._spread_window // parameters.initial_spread_divisor
+        self._renewal = max(renewal, agents * parameters.call_spacing)
+        longest = max(parameters.max_retry_delay, self._spread_window)
+        self._backoff = ExponentialBackoff(parameters.initial_retry_delay, longest)
         self._due_at: Microseconds = 0
 
     def start(self, now: Microseconds) -> None:
-        """Choose the time of the first call."""
-        # Hundreds of agents that start together and call at once are turned away.
-        self._due_at = now + self._random.randrange(self._first_within + 1)
+        """Choose a random time for the first call."""
+        # Discovery would reject the calls of hundreds of agents that start at the same time.
+        self._due_at = now + self._random.randrange(self._initial_window + 1)
 
     def is_due(self, now: Microseconds) -> bool:
-        """Whether a call is due."""
+        """Return whether a call is due."""
         return now >= self._due_at
 
     def renew(self, now: Microseconds) -> None:
-        """A call goes out or has brought news."""
+        """Schedule the next renewal, after a call was sent or has returned an update."""
         self._due_at = now + self._renewal
 
     def succeeded(self) -> None:
-        """The list is known."""
+        """Reset the backoff, after the list was received."""
         self._backoff.reset()
 
     def failed(self, now: Microseconds, *, is_urgent: bool) -> None:
-        """A call failed or the watch broke: call again, ever more slowly.
+        """Schedule a retry with exponential backoff, after a call failed or the watch was interrupted.
 
-        The pause is drawn from the whole backoff, so that calls that failed together do not come together
-        again. `is_urgent`: no peer has a confirmation of the list either.
+        The delay is random over the whole backoff, so that calls which failed at the same time are not
+        retried at the same time. `is_urgent` means that no peer has a confirmation of the list either.
         """
         longest = self._backoff.next()
         if is_urgent:
-            longest = min(longest, self._parameters.retry_longest)
-        shortest = min(self._parameters.retry_shortest, longest)
+            longest = min(longest, self._parameters.max_retry_delay)
+        shortest = min(self._parameters.min_retry_delay, longest)
         self._due_at = now + self._random.randrange(shortest, longest + 1)
 
     def defer(self, now: Microseconds) -> None:
-        """A peer has a confirmation of the list: leave discovery to others, and call within the window."""
-        self._due_at = max(self._due_at, now + self._random.randrange(self._crowd_window + 1))
+        """Postpone the call by a random part of the window, as a peer has a confirmation of the list."""
+        self._due_at = max(self._due_at, now + self._random.randrange(self._spread_window + 1))
--- a/frostfall/mechanisms/weighted_choice.py
+++ b/frostfall/mechanisms/weighted_choice.py
@@ -12,10 +12,10 @@
 def choose_by_cost(
     source: random.Random, options: Sequence[T], costs: Sequence[float], sharpness: Sequence[float]
 ) -> T:
-    """One of the options, each with odds of its cost, relative to the median, to minus its sharpness.
+    """Return a random option, weighted by `(cost / median) ** -sharpness`.
 
-    It takes one draw from `source`. Costs must be above 0.
+    Costs must be above 0. One random number is drawn from `source`.
     """
     median = sorted(costs)[len(costs) // 2]
-    odds = [(cost / median) ** -power for cost, power in zip(costs, sharpness)]
-    return source.choices(options, odds)[0]
+    weights = [(cost / median) ** -power for cost, power in zip(costs, sharpness)]
+    return source.choices(options, weights)[0]
--- a/frostfall/model/rollouts.py
+++ b/frostfall/model/rollouts.py
@@ -125,9 +125,9 @@
         if test is None:
             return
         while self._answers and self._answers[0].known_at <= end:
-            self._record(test.fresh, heapq.heappop(self._answers))
-        _share_among_agents(test.fresh)
-        test.turns = test.exchanges = self._schedule.exchanges
+            self._record(test.innovations, heapq.heappop(self._answers))
+        _share_among_agents(test.innovations)
+        test.slots = test.exchanges = self._schedule.exchanges
         self._test.end_round(self._now, test)
 
     def _serve(self, at: Micros) -> None:
--- a/frostfall/policy/guards.py
+++ b/frostfall/policy/guards.py
@@ -52,7 +52,7 @@
             return False
         # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
         counts = self.log.counts(now, build, request.exposure_group)
-        return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.taken
+        return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.admitted
 
     def _was_answered_later(self, request: PendingRequest, state: api.RolloutState, build: int) -> bool:
         is_live = state.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED)
--- a/frostfall/policy/learning.py
+++ b/frostfall/policy/learning.py
@@ -20,9 +20,9 @@
     largest_slowness=8.0,
     unknown_time_share=0.5,
     initial_queue_length=1.0,
-    server_memory=3_000_000,  # us
-    rate_memory=2_000_000,  # us
-    peak_memory=20_000_000,  # us: it fades so slowly as a fleet warms up
+    server_decay_time=3_000_000,  # us
+    rate_decay_time=2_000_000,  # us
+    peak_decay_time=20_000_000,  # us: it fades so slowly as a fleet warms up
 )
 OVERLOAD_EJECTION = 300_000  # us that an overloaded server is left alone
 UNREACHABLE_EJECTION = partial(ExponentialBackoff, first=300_000, longest=4_000_000)  # us
--- a/frostfall/policy/server_watch.py
+++ b/frostfall/policy/server_watch.py
@@ -3,9 +3,9 @@
 from frostfall.mechanisms.watch_schedule import WatchParameters
 
 WATCH = WatchParameters(
-    retry_first=300_000,
-    retry_longest=4_000_000,
-    retry_shortest=100_000,
-    spacing=200_000,
-    start_part=5,
+    initial_retry_delay=300_000,
+    max_retry_delay=4_000_000,
+    min_retry_delay=100_000,
+    call_spacing=200_000,
+    initial_spread_divisor=5,
 )
--- a/frostfall/routing/__init__.py
+++ b/frostfall/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on where requests may go, beside those of the decision module: no I/O, no sockets, no clock."""
+"""Routing restrictions in addition to the policy's routing decisions; no I/O, no sockets, no clock."""
--- a/frostfall/shared_health/push_sum.py
+++ b/frostfall/shared_health/push_sum.py
@@ -1,11 +1,12 @@
-"""Push-sum gossip of health counts: each agent exchanges with one partner a turn, and all learn the totals.
-
-In a large fleet an agent sends a request to any one server rarely and forgets faster than it learns, while
-all agents together learn of a fault within a second. The method is push-sum (Kempe, Dobra, Gehrke,
-"Gossip-Based Computation of Aggregate Information", 2003): in each turn an agent keeps half of each entry of
-its message and sends the other half, so that the sum over all agents is preserved and nothing is counted
-twice. A message has only the heaviest entries; the others stay unchanged. New counts enter at the start of a
-round, and totals are read at its end.
+"""Push-sum gossip of health counts: agents exchange messages in pairs, and all obtain the totals.
+
+In a large fleet, one agent rarely sends requests to any given server, so that its own statistics decay faster
+than they grow, while the counts of all agents together show a fault within a second. The method is push-sum
+(Kempe, Dobra, Gehrke, "Gossip-Based Computation of Aggregate Information", 2003). Each agent exchanges
+messages with one partner per slot. It keeps half of each entry of its message and sends the other half, so
+that the sum over all agents is preserved and nothing is counted twice. A message has only the entries with
+the most failures; the others stay unchanged. New counts enter at the start of a round, and totals are read at
+its end.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from dataclasses import dataclass
 
 from frostfall.shared_health.message_codec import (
-    TURN_MASK,
+    SLOT_MASK,
     HealthCounts,
     HealthEntry,
     Key,
@@ -23,42 +24,42 @@
     key_kind,
 )
 
-MIN_WEIGHT = 2e-4  # attempts; a lighter entry is dropped: one failure's share in a fleet of thousands
-MIN_SHARED_FAILURES = 1.5  # failures of all agents together from which an entry is sent
-MAX_ENTRIES = 512  # entries kept: several times the servers of a large fleet
+MIN_WEIGHT = 2e-4  # attempts below which an entry is dropped: one failure's share in a fleet of thousands
+MIN_SHARED_FAILURES = 1.5  # failures over all agents above which an entry is sent
+MAX_ENTRIES = 512  # entries stored: several times the servers of a large fleet
 KEY_KINDS = 4
 NO_COUNTS = HealthCounts()
 
 
 @dataclass(slots=True)
 class _Entry:
-    mixing: HealthCounts = NO_COUNTS  # this agent's share in the round under way
+    mixing: HealthCounts = NO_COUNTS  # this agent's share in the current round
     totals: HealthCounts = NO_COUNTS  # of all agents, as of the end of the last round
-    # Own counts since the last round ended, which enter the mixing with the next one.
+    # This agent's own counts since the end of the last round. They are added to `mixing` in the next round.
     new_attempts: float = 0.0
     new_failures: float = 0.0
     new_evidence: float = 0.0
 
 
 class PushSum:
-    """One agent's part in the gossip. It owns the entries by key and the exchange under way."""
+    """One agent's part in the gossip. It owns the entries by key and the state of the current exchange."""
 
     def __init__(self, agents: int, exchanges: int) -> None:
-        """Take part among `agents` agents, with `exchanges` exchanges in a round."""
+        """Start without counts, as one of `agents` agents with `exchanges` exchanges in a round."""
         self._agents = max(agents, 1)
         self._exchanges = exchanges
         self._entries: dict[Key, _Entry] = {}
         self._sent: dict[Key, HealthCounts] = {}
-        self._sent_turn = -1
+        self._sent_slot = -1
         self._received: dict[Key, HealthCounts] | None = None
         self._missed_exchanges = 0  # in this round
 
     def __len__(self) -> int:
-        """The number of keys with an entry."""
+        """Return the number of keys with an entry."""
         return len(self._entries)
 
     def record(self, key: Key, attempts: float, failures: float, evidence: float = 0.0) -> None:
-        """Add this agent's own counts; evidence above zero counts as zero."""
+        """Add counts of this agent's own; evidence above 0 counts as 0."""
         entry = self._entries.get(key)
         if entry is None:
             entry = self._entries[key] = _Entry()
@@ -67,32 +68,35 @@
         entry.new_evidence += min(evidence, 0.0)
 
     def totals(self, key: Key) -> HealthCounts:
-        """Counts of all agents together, as of the end of the last round."""
+        """Return the counts over all agents, as of the end of the last round."""
         entry = self._entries.get(key)
         return entry.totals if entry else NO_COUNTS
 
     def build_message(
         self,
-        turn: int,
+        slot: int,
         max_chars: int,
         min_failure_shares: Sequence[float] = (0.0,) * KEY_KINDS,
         persistent_keys: Set[Key] = frozenset(),
         max_persistent: int = MAX_ENTRIES,
     ) -> str:
-        """Begin this turn's exchange; the message for its partner, of at most `max_chars` characters.
+        """Begin the exchange of a slot, and return the message for the partner.
 
-        The `max_persistent` heaviest persistent keys come first, from any failure on. Others follow if more
-        than the share of their attempts that is given for their kind has failed.
+        The message has at most `max_chars` characters. The `max_persistent` persistent keys with the most
+        failures come first; any failure qualifies. Other keys follow if the failed share of their attempts is
+        above the minimum for their kind.
         """
-        # Evidence that is left out would be held against a score that is sent, so persistent keys go first.
+        # Evidence on outliers that is missing from the message could not be excluded from the failure score,
+        # which is always sent. Persistent keys therefore come first.
         selected = self._heaviest_persistent(persistent_keys)[:max_persistent]
         selected += self._heaviest_others(min_failure_shares, persistent_keys)
         halves = [HealthEntry(entry.key, _half(entry.counts)) for entry in selected]
-        text = encode_message(turn, halves, max_chars)
-        # What leaves this agent is what the partner will decode, or rounding would lose a part of the sum.
+        text = encode_message(slot, halves, max_chars)
+        # The counts subtracted here are those that the partner decodes, or rounding would lose a part of the
+        # sum.
         message = decode_message(text)
         self._sent = message.entries if message else {}
-        self._sent_turn = turn
+        self._sent_slot = slot
         self._received = None
         return text
 
@@ -120,27 +124,29 @@
         selected.sort(key=_most_failures_first)
         return selected
 
-    def receive(self, turn: int, text: str) -> None:
-        """Take the partner's message of this turn; one that is of another turn or unreadable is ignored."""
+    def receive(self, slot: int, text: str) -> None:
+        """Store the partner's message of this slot; a malformed one, or one of another slot, is ignored."""
         message = decode_message(text)
-        # Of another turn, it would be added although this agent's half of that exchange was never given away.
-        if message and message.turn == turn & TURN_MASK and turn == self._sent_turn:
+        # A message of another slot would be added although this agent's half of that exchange was not
+        # subtracted.
+        if message and message.slot == slot & SLOT_MASK and slot == self._sent_slot:
             self._received = message.entries
 
-    def end_exchange(self, turn: int, unpaired: bool) -> None:
-        """End this turn's exchange; `unpaired`: the schedule had no partner for this agent."""
-        if self._received is None or turn != self._sent_turn:
-            # The half that was sent to an absent partner stays here, or it would be lost to the sum.
+    def end_exchange(self, slot: int, unpaired: bool) -> None:
+        """End the exchange of a slot; `unpaired` means that the schedule had no partner for this agent."""
+        if self._received is None or slot != self._sent_slot:
+            # Without the partner's message, the half that was sent is not subtracted, or it could be lost
+            # from the sum.
             self._missed_exchanges += not unpaired
         else:
             self._subtract_sent()
             self._add_received(self._received)
         self._received = None
-        self._sent_turn = -1
+        self._sent_slot = -1
 
     def _subtract_sent(self) -> None:
         for key, half in self._sent.items():
-            if entry := self._entries.get(key):  # it may have been discarded meanwhile
+            if entry := self._entries.get(key):  # the key may have been discarded during the exchange
                 own = entry.mixing
                 entry.mixing = HealthCounts(
                     own.attempts - half.attempts,
@@ -163,31 +169,32 @@
             )
 
     def end_round(self, retention: Sequence[float], persistent_keys: Set[Key] = frozenset()) -> None:
-        """End a round: read the totals and let new counts enter the mixing.
+        """End a round: update the totals and add new counts to the mixed ones.
 
-        `retention` gives by kind the part of each entry that is kept; persistent keys are kept whole.
+        `retention` is, by key kind, the factor by which the mixed counts decay; persistent keys do not decay.
         """
         agents = self._mixed_agents()
         self._missed_exchanges = 0
         for key, entry in list(self._entries.items()):
             old = entry.mixing
             entry.totals = HealthCounts(old.attempts * agents, old.failures * agents, old.evidence * agents)
-            kept = 1.0 if key in persistent_keys else retention[key_kind(key)]
+            factor = 1.0 if key in persistent_keys else retention[key_kind(key)]
             entry.mixing = HealthCounts(
-                old.attempts * kept + entry.new_attempts,
-                old.failures * kept + entry.new_failures,
-                old.evidence * kept + entry.new_evidence,
+                old.attempts * factor + entry.new_attempts,
+                old.failures * factor + entry.new_failures,
+                old.evidence * factor + entry.new_evidence,
             )
             entry.new_attempts = entry.new_failures = entry.new_evidence = 0.0
-            # Where servers come and go all day, entries of servers that have left would accumulate.
+            # Entries of removed servers would otherwise accumulate, as servers come and go.
             if key not in persistent_keys and max(entry.mixing.attempts, entry.mixing.failures) < MIN_WEIGHT:
                 del self._entries[key]
 
     def _mixed_agents(self) -> float:
-        """How many agents' counts this agent's share stands for; fewer than all where it missed exchanges."""
+        """Return how many agents' counts this agent's share represents: not all if it missed exchanges."""
         if not self._missed_exchanges:
             return self._agents
-        # An agent that is cut off holds its own counts only; multiplied by all agents they would be too many.
+        # An isolated agent has only its own counts; multiplied by the number of all agents, they would be too
+        # high.
         return min(2.0 ** max(self._exchanges - self._missed_exchanges, 0), self._agents)
 
     def discard(self, keys: Iterable[Key]) -> None:
--- a/frostfall/shared_health/server_health.py
+++ b/frostfall/shared_health/server_health.py
@@ -1,4 +1,4 @@
-"""Health of servers as all agents together see it: failure shares, unreachable servers and trial outliers."""
+"""Health of servers from the counts of all agents: failure shares, unreachable servers, trial outliers."""
 
 from __future__ import annotations
 
@@ -11,33 +11,34 @@
 from frostfall.shared_health.message_codec import HealthCounts, Key, make_key
 from frostfall.shared_health.push_sum import PushSum
 
-FAILURE_MEMORY_SECONDS = 6.0  # in which what is known of a server's recent failures decays to 1/e
-SILENCE_MEMORY_SECONDS = 1.0  # the same for whether any data comes back from it
-PAST_STAGE_RETENTION = 0.1  # part of the outcomes of a past rollout stage that is kept in each round
-PRIOR_SUCCESSES = 4.0  # attempts added to each server's: one failure alone tells little
-FAILED_ONCE = 0.5  # pooled failures that stand for one
-REPEATED_FAILURES = 1.7  # pooled failures that stand for more than one, as pooled counts are not whole
+FAILURE_DECAY_SECONDS = 6.0  # in which counts of a server's failures decay to 1/e
+SILENCE_DECAY_SECONDS = 1.0  # in which counts of attempts without any data decay to 1/e
+PAST_STAGE_RETENTION = 0.1  # per round, of the outcomes of a past rollout stage
+PRIOR_SUCCESSES = 4.0  # successful attempts added to each server's: one failure is weak evidence
+FAILED_ONCE = 0.5  # pooled failures that count as at least one
+REPEATED_FAILURES = 1.7  # pooled failures that count as more than one; pooled counts are not whole numbers
 UNREACHABLE_SHARE = 0.8  # share of attempts without any data above which a server is unreachable
-MIN_SILENT_ATTEMPTS = 2.0  # attempts without any data below which it is not judged
-HEALTH_CHECK_SHARE = 0.1  # part of the agents that still try an unreachable server, to notice its return
-MAX_UNREACHABLE_SHARE = 0.5  # of the fleet; beyond it the fault lies with the agents or the network between
-MAX_OUTLIER_SHARE = 0.25  # of the machines on trial that may fail alone
-OUTLIER_DEVIATIONS = 3  # standard deviations above the others' rate
+MIN_SILENT_ATTEMPTS = 2.0  # attempts without any data from which on a server can be unreachable
+HEALTH_CHECK_SHARE = 0.1  # of the agents, which still send to an unreachable server to detect its return
+MAX_UNREACHABLE_SHARE = 0.5  # of the fleet; beyond it, the agents or the network must be the cause
+MAX_OUTLIER_SHARE = 0.25  # of the servers on trial that can count as outliers
+OUTLIER_DEVIATIONS = 3  # standard deviations above the failure rate of the other servers
 
-ServerIncarnation = tuple[int, int]  # id and start time in microseconds: a new start is another server
+ServerIncarnation = tuple[int, int]  # id and start time in microseconds; a restarted server has a new one
 RolloutStage = tuple[int, int]  # build and stage
 NO_STAGE: RolloutStage = (-1, -1)
 
 
 class KeyKind(IntEnum):
-    """What a key's counts are of; the numbers are part of the keys that agents exchange."""
+    """The kind of counts that a key has; its number is part of the keys that agents exchange."""
 
-    RECENT_FAILURES = 0  # attempts at a server with any data, and the failed ones
-    TRIAL_OUTCOMES = 1  # the same of a server on trial, with evidence against its build
-    SILENCE = 2  # attempts at a server or a zone, and those without any data
+    RECENT_FAILURES = 0  # attempts at a server that returned any data, and failed ones among them
+    TRIAL_OUTCOMES = 1  # attempts at a server on trial, failed ones, and evidence against its build
+    SILENCE = 2  # attempts at a server or a zone, and those that returned no data
 
 
-# Shares of failures from which counts are sent, by kind; of trials only those of the present stage are.
+# Shares of failures above which counts are sent, by kind. Trial outcomes are sent as persistent keys, and
+# only those of the current stage.
 MIN_FAILURE_SHARES = (0.2, math.inf, 0.2)
 
 
@@ -47,20 +48,20 @@
 
 
 class SharedHealth:
-    """One agent's view of all servers, pooled with the other agents' views.
+    """Health statistics of all servers, pooled over all agents.
 
     It owns the push-sum state and the keys of the servers in the fleet and of those on trial.
     """
 
     def __init__(self, agents: int, exchanges: int) -> None:
-        """Take part among `agents` agents, with `exchanges` exchanges in a round."""
+        """Start without counts, as one of `agents` agents with `exchanges` exchanges in a round."""
         self.push_sum = PushSum(agents, exchanges)
         self._trial: dict[Key, ServerIncarnation] = {}
         self._stage = NO_STAGE
         self._keys: dict[ServerIncarnation, _ServerKeys] = {}
 
     def record_attempt(self, server: ServerIncarnation, zone: str, failed: bool, silent: bool) -> None:
-        """Record an attempt of this agent's own; `silent`: no data has come since it began."""
+        """Record an attempt of this agent; `silent` means that no data has come since the attempt began."""
         keys = self._server_keys(server)
         if not silent:
             self.push_sum.record(keys.recent_failures, 1, failed)
@@ -79,21 +80,22 @@
     def servers_to_avoid(
         self, fleet: Mapping[ServerIncarnation, str], draw: Callable[[], float]
     ) -> set[ServerIncarnation]:
-        """The unreachable servers of a fleet, given with their zones, that get no request for a round.
+        """Return the unreachable servers that get no requests for a round; `fleet` maps servers to zones.
 
-        `draw` gives random numbers from 0 to 1, one for each unreachable server in the fleet's order.
+        `draw` returns a random number from 0 to 1; it is called for each unreachable server in the fleet's
+        order.
         """
-        # Without it, each agent would lose a request to each server of a lost zone to find out. A zone's
-        # servers together show sooner than each of them that the zone is lost.
-        lost_zones = {zone for zone in set(fleet.values()) if self._is_unreachable(_zone_key(zone))}
+        # Otherwise each agent would lose a request to each server of an unreachable zone. The pooled counts
+        # of a zone show that it is unreachable sooner than those of each server.
+        unreachable_zones = {zone for zone in set(fleet.values()) if self._is_unreachable(_zone_key(zone))}
         unreachable = [
             server
             for server, zone in fleet.items()
-            if zone in lost_zones or self._is_unreachable(self._server_keys(server).silence)
+            if zone in unreachable_zones or self._is_unreachable(self._server_keys(server).silence)
         ]
         if len(unreachable) > MAX_UNREACHABLE_SHARE * len(fleet):
             return set()
-        # Some agents go on trying each of them, or nobody would see it return.
+        # Some agents still send requests to each of them to detect its return.
         return {server for server in unreachable if draw() >= HEALTH_CHECK_SHARE}
 
     def _is_unreachable(self, silence_key: Key) -> bool:
@@ -102,21 +104,21 @@
         return silent >= MIN_SILENT_ATTEMPTS and silent > UNREACHABLE_SHARE * counts.attempts
 
     def failure_share(self, server: ServerIncarnation) -> float:
-        """The recent share of failures, with prior successes added; 0 where no failure is known."""
+        """Return the recent failure share of a server, with prior successes added; 0 without failures."""
         counts = self.push_sum.totals(self._server_keys(server).recent_failures)
         if counts.failures <= 0:
             return 0.0
         return min(counts.failures / (max(counts.attempts, counts.failures) + PRIOR_SUCCESSES), 1.0)
 
     def set_trial_stage(self, stage: RolloutStage = NO_STAGE) -> None:
-        """Set the rollout stage that is on trial; outcomes of the one before are dropped."""
+        """Set the rollout stage that is on trial, and drop the outcomes of the previous stage."""
         if stage != self._stage:
             self.push_sum.discard(self._trial)
             self._trial = {}
             self._stage = stage
 
     def record_trial_outcome(self, server: ServerIncarnation, failed: bool, evidence: float) -> None:
-        """Record an outcome on trial of this agent's own; `evidence` counts if it failed."""
+        """Record the outcome of an attempt at a server on trial; `evidence` counts only if it failed."""
         key = self._trial_key(server)
         self._trial[key] = server
         self.push_sum.record(key, 1, failed, evidence if failed else 0.0)
@@ -125,55 +127,57 @@
         return make_key(KeyKind.TRIAL_OUTCOMES, *self._stage, *server)
 
     def update_fleet(self, servers: set[ServerIncarnation], on_trial: list[ServerIncarnation]) -> None:
-        """Set the servers of the fleet, and those of them that are on trial."""
+        """Set the servers of the fleet, and add the servers that are on trial."""
         for server in [server for server in self._keys if server not in servers]:
             self.push_sum.discard(self._keys.pop(server))
-        # Other agents may have sent counts of servers that this one has not tried yet.
+        # Other agents may send counts of servers to which this agent has sent no requests yet.
         for server in on_trial:
             self._trial.setdefault(self._trial_key(server), server)
 
-    def build_message(self, turn: int, max_chars: int) -> str:
-        """Begin this turn's exchange; the message for its partner, of at most `max_chars` characters."""
+    def build_message(self, slot: int, max_chars: int) -> str:
+        """Begin the exchange of a slot; return the partner's message, of at most `max_chars` characters."""
         max_persistent = self._max_outliers() + 1
         return self.push_sum.build_message(
-            turn, max_chars, MIN_FAILURE_SHARES, self._trial.keys(), max_persistent
+            slot, max_chars, MIN_FAILURE_SHARES, self._trial.keys(), max_persistent
         )
 
     def end_round(self, duration_us: int) -> None:
-        """End a round that took so many microseconds."""
+        """End a round that lasted `duration_us` microseconds."""
         elapsed = duration_us / 1e6
         retention = (
-            math.exp(-elapsed / FAILURE_MEMORY_SECONDS),
+            math.exp(-elapsed / FAILURE_DECAY_SECONDS),
             PAST_STAGE_RETENTION,
-            math.exp(-elapsed / SILENCE_MEMORY_SECONDS),
+            math.exp(-elapsed / SILENCE_DECAY_SECONDS),
         )
         self.push_sum.end_round(retention, self._trial.keys())
 
     def outlier_evidence(self, attempts: float, failures: float, min_other_attempts: float) -> float:
-        """Evidence against the build, at or below zero, that comes from machines which fail alone.
+        """Return the evidence against the build, at or below 0, that comes from outlier servers.
 
-        `attempts` and `failures` count all outcomes on trial, of all agents. The worst machines, up to
-        `MAX_OUTLIER_SHARE`, fail alone if each has failed more often than at the rate of all others by more
-        than `OUTLIER_DEVIATIONS` and one failure, where the others have `min_other_attempts` at least.
+        `attempts` and `failures` count all outcomes on trial at all agents. The servers with the most
+        failures, up to `MAX_OUTLIER_SHARE`, are outliers if each has more failures than expected at the rate
+        of all other servers, by more than `OUTLIER_DEVIATIONS` standard deviations and one failure. The other
+        servers need at least `min_other_attempts` attempts.
         """
-        # In a large fleet some machines of a good build fail by themselves at any time. Each agent sees too
-        # few of their answers to tell, and all agents together would roll the build back. But where all
-        # machines fail now and then, the worst of many look bad by chance, and would hide a bad build.
+        # In a large fleet, some servers of a good build are faulty at any time. A single agent has too few of
+        # their answers to detect this, and all agents together would roll the build back. But if all servers
+        # fail occasionally, the worst of many look faulty by chance, and excluding them would hide a faulty
+        # build.
         suspects = self._worst_on_trial()
         while suspects:
-            if _fail_alone(suspects, attempts, failures, min_other_attempts):
+            if _are_outliers(suspects, attempts, failures, min_other_attempts):
                 return sum(counts.evidence for counts in suspects)
             suspects.pop()
         return 0.0
 
     @property
     def few_trial_servers_fail(self) -> bool:
-        """Whether no more machines on trial have failed than may fail alone."""
+        """Whether the number of servers on trial with failures is within the limit for outliers."""
         failing = sum(self.push_sum.totals(key).failures >= FAILED_ONCE for key in self._trial)
         return failing <= self._max_outliers()
 
     def _worst_on_trial(self) -> list[HealthCounts]:
-        """The machines with repeated failures that may be outliers, worst first."""
+        """Return the counts of the servers with repeated failures that can be outliers, worst first."""
         totals = sorted(
             (self.push_sum.totals(key) for key in self._trial), key=lambda counts: -counts.failures
         )
@@ -187,15 +191,16 @@
     return make_key(KeyKind.SILENCE, crc32(zone.encode()))
 
 
-def _fail_alone(
+def _are_outliers(
     suspects: list[HealthCounts], attempts: float, failures: float, min_other_attempts: float
 ) -> bool:
-    """Whether each suspect fails far more often than at the rate of all machines but the suspects."""
+    """Return whether each suspect fails far more often than at the rate of all servers but the suspects."""
     other_attempts = attempts - sum(counts.attempts for counts in suspects)
     if other_attempts < min_other_attempts:
         return False
     other_failures = max(failures - sum(counts.failures for counts in suspects), 0.0)
-    other_rate = (other_failures + 0.5) / max(other_attempts, 1.0)  # 0.5: no failure seen is not a rate of 0
+    # The 0.5 is added because no failures do not prove a rate of 0.
+    other_rate = (other_failures + 0.5) / max(other_attempts, 1.0)
     for counts in suspects:
         expected = max(counts.attempts, counts.failures) * other_rate
         if counts.failures <= expected + OUTLIER_DEVIATIONS * math.sqrt(expected) + 1:
