--- a/frostfall/mechanisms/fleet_statistics.py
+++ b/frostfall/mechanisms/fleet_statistics.py
@@ -60,7 +60,7 @@
         self.others_in_flight = 0.0  # mean of other agents' requests in flight, by servers' reports
         self.queue_length = parameters.initial_queue_length  # mean of the queue lengths that servers report
 
-    def served(self, now: Microseconds) -> float:
+    def served_rate(self, now: Microseconds) -> float:
         """Return the recent rate of requests served per second."""
         return self.throughput.update(now, len(self._servers.available))
 
--- a/frostfall/mechanisms/hypotheses.py
+++ b/frostfall/mechanisms/hypotheses.py
@@ -71,7 +71,7 @@
         parameters, settled, agents = self._parameters, test.settled, test.effective_agents
         timed, late = test.recent_timed * agents, test.recent_late * agents
         # In an overload, lateness depends on load rather than on the build. The last servers of a baseline
-        # that is being replaced are idle, and so no fair comparison.
+        # that is being replaced are idle, so that their response times are not comparable.
         if not parameters.min_timed <= timed > late / parameters.max_late_share:
             return None
         if settled.baseline_timed < parameters.min_timed_ratio * settled.trial_timed:
--- a/frostfall/mechanisms/mixing.py
+++ b/frostfall/mechanisms/mixing.py
@@ -28,7 +28,7 @@
 def round_length(agents: int) -> int:
     """Return the number of exchanges in one round.
 
-    After that many exchanges, the decision band is as narrow as that of the pooled evidence.
+    With that many exchanges, the decision band is about as narrow as that of the pooled evidence.
     """
     exchanges = (agents - 1).bit_length() + 1
     while agents * mixing_rate(agents, exchanges) ** 2 > 1:
--- a/frostfall/mechanisms/peer_exchange.py
+++ b/frostfall/mechanisms/peer_exchange.py
@@ -23,7 +23,7 @@
         self._synchronizer = SlotSynchronizer(schedule)
 
     def receive(self, now: Microseconds, sender: int, text: str, test: SequentialTest | None) -> None:
-        """Handle a message; a malformed one, or one of another slot, sender, build or stage, is dropped."""
+        """Handle a message; only that of the current slot's partner on the same build and stage is merged."""
         slot = self._schedule.slot
         totals, _, health = text.partition(" ")
         message = GossipMessage.decode(totals)
--- a/frostfall/mechanisms/server_list.py
+++ b/frostfall/mechanisms/server_list.py
@@ -112,8 +112,8 @@
         if current and (current.info.started_at, current.info.build) == (entry.started_at, entry.build):
             current.info = entry
             return False
-        # All agents together could overload a server that is warming up. The credits of the agents start at
-        # random values, so that the agents' partial sends add up to a small rate.
+        # All agents together could overload a server that is warming up. Each agent's credit therefore starts
+        # at a random value, so that the agents' fractions of a send add up to a low rate.
         rank, credit = self._random.random(), self._random.random()
         started_at = entry.started_at
         if self._start_times:
--- a/frostfall/mechanisms/slot_synchronizer.py
+++ b/frostfall/mechanisms/slot_synchronizer.py
@@ -57,8 +57,8 @@
         schedule = self._schedule
         own_slot = schedule.slot_at(now)
         difference = (slot - own_slot + SLOT_MODULUS // 2) % SLOT_MODULUS - SLOT_MODULUS // 2
-        for slots in sorted((difference, difference - SLOT_MODULUS, difference + SLOT_MODULUS), key=abs):
-            candidate = own_slot + slots
+        for offset in sorted((difference, difference - SLOT_MODULUS, difference + SLOT_MODULUS), key=abs):
+            candidate = own_slot + offset
             if exchange_partner(sender, schedule.agents, candidate, schedule.exchanges) == schedule.agent:
                 return candidate * schedule.period - (now + schedule.clock_correction)
         return None
--- a/frostfall/mechanisms/sprt.py
+++ b/frostfall/mechanisms/sprt.py
@@ -29,7 +29,7 @@
     round of averaging among the agents, `divergence` the mean evidence of an agent in a round.
     """
     k = agents * mixing_rate * mixing_rate
-    # The bound grows without limit as the divergence approaches 0.
+    # The lower limit of the divergence keeps the bound finite.
     complement = -math.expm1(-agents * max(divergence, 1e-6) / (4 * (k + 1)))
     return 8 * (k + 1) / (7 * agents) * (math.log(2 / error) - math.log(complement))
 
--- a/frostfall/policy/admission.py
+++ b/frostfall/policy/admission.py
@@ -46,7 +46,7 @@
         # waits first.
         request_class, statistics = request.request_class, self.statistics
         fill = IDLE_FILL if statistics.queue_length < IDLE_QUEUE else FILL
-        served = statistics.served(now) * fill * request_class.latency_objective
+        served = statistics.served_rate(now) * fill * request_class.latency_objective
         ratio = max(statistics.times.ratio(request_class.name), MIN_TIME_RATIO)
         capacity = max(
             served / ratio / 1e6 + SPARE_REQUESTS,
@@ -61,7 +61,7 @@
         objective = request.request_class.latency_objective
         if now - request.arrived_at >= objective // WAIT_DIVISOR:
             return False
-        served = self.statistics.served(now) * objective / (WAIT_DIVISOR * 1e6)
+        served = self.statistics.served_rate(now) * objective / (WAIT_DIVISOR * 1e6)
         return len(self.waiting) < MIN_WAITING + served
 
     def record_outcome(self, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
--- a/frostfall/policy/guards.py
+++ b/frostfall/policy/guards.py
@@ -135,7 +135,7 @@
         # Our part of what a server carries (served: more may be asked than can be done), times its least
         # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
         # A fleet all cold serves less, and would be allowed less still. What was carried counts.
-        self.statistics.served(now)
+        self.statistics.served_rate(now)
         own, window = self.statistics.throughput.peak_per_server, self.rules.overload_window
         multiple = self.rules.overload_multiple * server.warmth(now, self.rules)
         test = self.rollout_test.test
--- a/frostfall/policy/routing.py
+++ b/frostfall/policy/routing.py
@@ -60,7 +60,7 @@
         """A few servers at random, of those that this agent keeps connections to."""
         # Hundreds of agents that connect to every server fill its table, and learn nothing of any by a
         # request now and then. So each keeps to as many as its traffic keeps connected, in random order.
-        sends = self.statistics.served(now) * self.settings.limits.connection_idle_timeout / 1e6
+        sends = self.statistics.served_rate(now) * self.settings.limits.connection_idle_timeout / 1e6
         most = max(MIN_SERVERS, int(sends / SENDS_PER_CONNECTION))
         near = list(islice((server for server in usable if server.ejected_until <= now), most))
         return near if len(near) <= SAMPLE_SIZE else self.random.sample(near, SAMPLE_SIZE)
--- a/frostfall/shared_health/push_sum.py
+++ b/frostfall/shared_health/push_sum.py
@@ -92,7 +92,7 @@
         selected += self._heaviest_others(min_failure_shares, persistent_keys)
         halves = [HealthEntry(entry.key, _half(entry.counts)) for entry in selected]
         text = encode_message(slot, halves, max_chars)
-        # The counts subtracted here are those that the partner decodes, or rounding would lose a part of the
+        # The counts to subtract are those that the partner will decode, or rounding would lose a part of the
         # sum.
         message = decode_message(text)
         self._sent = message.entries if message else {}
@@ -135,8 +135,7 @@
     def end_exchange(self, slot: int, unpaired: bool) -> None:
         """End the exchange of a slot; `unpaired` means that the schedule had no partner for this agent."""
         if self._received is None or slot != self._sent_slot:
-            # Without the partner's message, the half that was sent is not subtracted, or it could be lost
-            # from the sum.
+            # The half that was sent to an absent partner is not subtracted, or it would be lost from the sum.
             self._missed_exchanges += not unpaired
         else:
             self._subtract_sent()
--- a/frostfall/shared_health/server_health.py
+++ b/frostfall/shared_health/server_health.py
@@ -18,8 +18,8 @@
 FAILED_ONCE = 0.5  # pooled failures that count as at least one
 REPEATED_FAILURES = 1.7  # pooled failures that count as more than one; pooled counts are not whole numbers
 UNREACHABLE_SHARE = 0.8  # share of attempts without any data above which a server is unreachable
-MIN_SILENT_ATTEMPTS = 2.0  # attempts without any data from which on a server can be unreachable
-HEALTH_CHECK_SHARE = 0.1  # of the agents, which still send to an unreachable server to detect its return
+MIN_SILENT_ATTEMPTS = 2.0  # least number of attempts without any data for a server to be unreachable
+HEALTH_CHECK_SHARE = 0.1  # of the agents that still send to an unreachable server, to detect its return
 MAX_UNREACHABLE_SHARE = 0.5  # of the fleet; beyond it, the agents or the network must be the cause
 MAX_OUTLIER_SHARE = 0.25  # of the servers on trial that can count as outliers
 OUTLIER_DEVIATIONS = 3  # standard deviations above the failure rate of the other servers
@@ -85,8 +85,8 @@
         `draw` returns a random number from 0 to 1; it is called for each unreachable server in the fleet's
         order.
         """
-        # Otherwise each agent would lose a request to each server of an unreachable zone. The pooled counts
-        # of a zone show that it is unreachable sooner than those of each server.
+        # Without the pooled counts, each agent would lose a request to each server of an unreachable zone.
+        # The counts of the zone show that it is unreachable sooner than those of each server.
         unreachable_zones = {zone for zone in set(fleet.values()) if self._is_unreachable(_zone_key(zone))}
         unreachable = [
             server
@@ -135,7 +135,10 @@
             self._trial.setdefault(self._trial_key(server), server)
 
     def build_message(self, slot: int, max_chars: int) -> str:
-        """Begin the exchange of a slot; return the partner's message, of at most `max_chars` characters."""
+        """Begin the exchange of a slot, and return the message for the partner.
+
+        The message has at most `max_chars` characters.
+        """
         max_persistent = self._max_outliers() + 1
         return self.push_sum.build_message(
             slot, max_chars, MIN_FAILURE_SHARES, self._trial.keys(), max_persistent
@@ -199,7 +202,7 @@
     if other_attempts < min_other_attempts:
         return False
     other_failures = max(failures - sum(counts.failures for counts in suspects), 0.0)
-    # The 0.5 is added because no failures do not prove a rate of 0.
+    # Half a failure is added, because the rate need not be 0 if no failure was recorded.
     other_rate = (other_failures + 0.5) / max(other_attempts, 1.0)
     for counts in suspects:
         expected = max(counts.attempts, counts.failures) * other_rate
