--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -24,7 +24,7 @@
 FOLDER = Path(__file__).parent / "fixtures" / "settings"
 DEPLOY = Path(__file__).parent.parent / "deploy"
 WRONG: list[Any] = [[]]  # a value that no key accepts
-# One key of the operator file, which has one key per line, with its whole value.
+# A key of the operator file together with its whole value; the file has one key per line.
 KEY = re.compile(r"^( *)(\w+): ([^\n]*,|[{\[]\n(?:\1 [^\n]*\n)*\1[}\]],)$", re.MULTILINE)
 ENVIRONMENT = {"BALANCER_NAME": "e0", "BALANCER_LISTEN": "127.0.0.1:1", "BALANCER_DISCOVERY": "127.0.0.1:2"}
 
