--- a/frostfall/policy/guards.py
+++ b/frostfall/policy/guards.py
@@ -52,7 +52,7 @@
             return False
         # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
         counts = self.log.counts(now, build, request.exposure_group)
-        return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.taken
+        return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.admitted
 
     def _was_answered_later(self, request: PendingRequest, state: api.RolloutState, build: int) -> bool:
         is_live = state.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED)
@@ -135,7 +135,7 @@
         # Our part of what a server carries (served: more may be asked than can be done), times its least
         # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
         # A fleet all cold serves less, and would be allowed less still. What was carried counts.
-        self.statistics.served(now)
+        self.statistics.served_rate(now)
         own, window = self.statistics.throughput.peak_per_server, self.rules.overload_window
         multiple = self.rules.overload_multiple * server.warmth(now, self.rules)
         test = self.rollout_test.test
