--- a/frostfall/deployment.py
+++ b/frostfall/deployment.py
@@ -1,7 +1,7 @@
-"""What a deployment sets for an agent: request classes, tenants, the rollout, limits, rules and prices.
+"""The deployment's settings for an agent: request classes, tenants, the rollout, limits, rules and prices.
 
-These types belong to the project, not to any protocol; `frostfall/settings.py` reads them from a
-configuration. Times are whole microseconds.
+The types are independent of any protocol; `frostfall/settings.py` reads them from a configuration. Times are
+whole microseconds.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request may do."""
+    """Whether a request may be run more than once."""
 
     IDEMPOTENT = auto()
-    KEYED = auto()  # repeats are dropped inside a group of servers, for a while
+    KEYED = auto()  # a group of servers deduplicates repeats by their key within a window
     NON_IDEMPOTENT = auto()
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop each other's repeats of a keyed request."""
+    """The group of servers that deduplicate repeats of a keyed request among each other."""
 
     ALL = auto()
     ZONE = auto()
@@ -33,15 +33,15 @@
 
 
 class RolloutControl(Enum):
-    """What moves a build from stage to stage."""
+    """The way in which a build moves from stage to stage."""
 
-    VOTES = auto()  # one vote, or a stated number of them
-    AUTOMATIC = auto()  # time does; votes can only hold or send back
+    VOTES = auto()  # by one vote, or by a configured number of votes
+    AUTOMATIC = auto()  # by time; votes can only hold the build or roll it back
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests and what its clients expect."""
+    """A class of requests, with its latency objective, deadline and guarantees."""
 
     name: str
     idempotency: Idempotency
@@ -56,7 +56,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a repeat is harmless at any server and time."""
+        """Whether a repeat is harmless at every server and at any time."""
         return self.idempotency is Idempotency.IDEMPOTENT
 
     @property
@@ -65,7 +65,7 @@
         return self.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def deduplicates_between(self, first: Server, second: Server) -> bool:
-        """Whether two servers drop each other's repeats of a keyed request of this class."""
+        """Return whether two servers deduplicate repeats of a keyed request of this class."""
         if self.deduplication_scope is DeduplicationScope.ALL:
             return True
         if self.deduplication_scope is DeduplicationScope.ZONE:
@@ -74,14 +74,14 @@
 
     @property
     def repeatable_anywhere(self) -> bool:
-        """Whether a client's repeat is harmless, whichever server gets it."""
+        """Whether a repeat by a client is harmless at every server."""
         everywhere = self.deduplication_scope is DeduplicationScope.ALL
         return self.idempotent or (self.idempotency is Idempotency.KEYED and everywhere)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and what it may send per second to all agents together."""
+    """A customer and its quota of requests per second at all agents together."""
 
     name: str
     quota: float
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """How builds are offered, moved on and judged."""
+    """The stages and caps of rollouts, and the rules of votes on builds."""
 
     control: RolloutControl
     stage_caps: tuple[float, ...]
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """The features and bounds that the deployment permits."""
 
     max_attempts: int
     parallel_attempts: bool
@@ -130,12 +130,12 @@
     retry_after: bool
     max_retry_after: Microseconds
     connect_timeout: Microseconds
-    connection_idle_timeout: Microseconds  # after so long without use a connection is closed
+    connection_idle_timeout: Microseconds  # an unused connection is closed after this time
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The numbers of the rules."""
+    """The parameters of the rules on answers, drains, watches and warm-up."""
 
     answer_slack: Microseconds
     drain_grace: Microseconds
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points that the deployment takes off, as shares of the whole."""
+    """Penalties that the deployment deducts from an agent's score, as shares of the whole."""
 
     cross_zone: float
     waste: float
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an agent is told at its start."""
+    """All settings that an agent gets at its start."""
 
     agent: int
     agents: int
--- a/frostfall/engine/__init__.py
+++ b/frostfall/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The engine of an agent: hands events to the policies and carries out what they decide, without I/O."""
+"""The decision engine: it composes the policies and applies events to them, without I/O."""
--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -1,4 +1,4 @@
-"""The decision engine, sans-I/O. Events, actions and settings are in frostfall/interface.py."""
+"""The decision engine, without I/O. Events, actions and settings are defined in frostfall/interface.py."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from frostfall.mechanisms.watch_schedule import WatchSchedule
 from frostfall.policy.endpoint_lease import LeaseState
 from frostfall.policy.guards import AttemptGuards
-from frostfall.policy.learning import STATISTICS, UNREACHABLE_EJECTION, Learning
+from frostfall.policy.learning import STATISTICS_PARAMETERS, UNREACHABLE_EJECTION, OutcomeRecorder
 from frostfall.policy.placement import PlacementPolicy
 from frostfall.policy.rollout_test import EXCHANGE_PERIOD, RolloutTest
 from frostfall.policy.routing import Routing
 from frostfall.policy.server_age import StartTimeEstimator
-from frostfall.policy.server_watch import WATCH
+from frostfall.policy.server_watch import WATCH_PARAMETERS
 from frostfall.records import PendingRequest, ServerState
 from frostfall.routing.outlier_ejection import OutlierEjections
 from frostfall.shared_health.server_health import SharedHealth
 
-EXCHANGE_TIMER = "*tick"  # its token: no request may be named so
-MESSAGE_SIZE = 256  # characters that a peer takes
+EXCHANGE_TIMER = "*tick"  # token of the exchange timer; no request may have this name
+MESSAGE_SIZE = 256  # characters that a peer accepts in a gossip message
 
 
 class PolicyEngine:
-    """One agent: composes the policies, and hands each event to those that it concerns."""
+    """Makes the decisions of one agent: composes the policies and dispatches events to them."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Nothing is known of the fleet yet; all random choices are drawn from the seed."""
+        """Create an engine without servers or requests; the seed determines all random choices."""
         agents = max(settings.agents, settings.agent + 1)
         self.settings, self.random = settings, random.Random(seed)
         self.actions: list[api.Action] = []
@@ -48,10 +48,10 @@
             self.random, ejection=UNREACHABLE_EJECTION, start_times=StartTimeEstimator()
         )
         renewal = settings.rules.watch_renewal_period
-        self.watch = WatchSchedule(WATCH, agents=agents, renewal=renewal, source=self.random)
-        self.statistics = FleetStatistics(STATISTICS, self.server_list)
+        self.watch = WatchSchedule(WATCH_PARAMETERS, agents=agents, renewal=renewal, source=self.random)
+        self.statistics = FleetStatistics(STATISTICS_PARAMETERS, self.server_list)
         self.rollout_test = RolloutTest(settings, self.schedule, self.shared_health, self.statistics)
-        self.learning = Learning(self.statistics, self.shared_health)
+        self.outcome_recorder = OutcomeRecorder(self.statistics, self.shared_health)
         self.guards = AttemptGuards(settings, self.server_list, self.statistics, self.rollout_test)
         self.lease = self.guards.lease
         gossip_source = random.Random(f"list gossip {seed}")
@@ -59,7 +59,7 @@
         self.routing = Routing(settings, self.random, self.guards)
         self.placement = PlacementPolicy(settings, self.random, self.routing)
         self.admission = self.placement.admission
-        self.lifecycle = RequestLifecycle(settings, self.placement, self.learning, self.rollout_test)
+        self.lifecycle = RequestLifecycle(settings, self.placement, self.outcome_recorder, self.rollout_test)
         self._handlers: dict[type, Callable[[Microseconds, Any], Iterable[api.Action] | None]] = {
             api.RequestArrived: self.lifecycle.arrive,
             api.AttemptEnded: self.lifecycle.attempt_ended,
@@ -68,7 +68,7 @@
             api.ServerListUpdated: self._server_list_updated,
             api.DiscoveryTimeRead: self._discovery_time_read,
             api.WatchInterrupted: self._watch_interrupted,
-            api.RolloutState: self._rollout_moved,
+            api.RolloutState: self._rollout_state_changed,
             api.HealthCheckEnded: self._health_check_ended,
             api.AnswerDisputed: self._answer_disputed,
             api.StreamStarted: self._stream_started,
@@ -79,27 +79,30 @@
 
     @property
     def servers(self) -> dict[int, ServerState]:
-        """All listed servers by id."""
+        """All servers of the list by id."""
         return self.server_list.by_id
 
     @property
     def requests(self) -> dict[str, PendingRequest]:
-        """The requests taken and not yet forgotten, by name."""
+        """The requests by name, each until it is answered and its attempts have ended."""
         return self.lifecycle.by_name
 
     @property
     def ejections(self) -> OutlierEjections:
-        """The servers that turned slow in the middle of an exchange."""
+        """The servers ejected because they became slow during an exchange."""
         return self.routing.ejections
 
     def start(self, now: Microseconds) -> list[api.Action]:
-        """The first actions of a new instance."""
+        """Start the engine and return its first actions."""
         self.watch.start(now)
         self.actions = [self._exchange_timer(now)]
         return self.actions
 
     def handle(self, now: Microseconds, event: api.Event) -> list[api.Action]:
-        """Answer one event. After an exception, `actions` has what was decided until then."""
+        """Process one event and return the resulting actions.
+
+        After an exception, `actions` holds the actions decided before it.
+        """
         actions = self.actions = []
         handler = self._handlers.get(type(event))
         if handler and (decided := handler(now, event)):
@@ -107,33 +110,31 @@
         return actions
 
     def may_write(self, now: Microseconds, request: str, attempt: int) -> bool:
-        """Whether an attempt may still go out: to be asked just before its first byte."""
+        """Return whether an attempt may still be written; called just before its first byte."""
         return self.lifecycle.may_write(now, request, attempt)
 
-    # ---- servers -----------------------------------------------------------------------------------
-
     def may_act_on(self, now: Microseconds, server: int) -> bool:
-        """Whether the list still holds a server as up, and its lease has not run out."""
+        """Return whether a server is on the list as up, and the lease on the list allows its use."""
         state = self.server_list.by_id.get(server)
         return state is not None and self.guards.is_usable(now, state)
 
     def _server_list_updated(self, now: Microseconds, event: api.ServerListUpdated) -> list[api.Action]:
         if event.kind is ServerListKind.FAILED:
             self.lease.watch_ended(now)
-            self.watch.failed(now, is_urgent=not self._peers_vouch(now))
+            self.watch.failed(now, is_urgent=not self._peer_confirms_list(now))
             return list(self.list_gossip.report(now))
-        is_cached = event.kind is ServerListKind.CACHED  # which nobody was asked for
+        is_cached = event.kind is ServerListKind.CACHED  # not an answer of discovery
         if is_cached:
             self.lease.start(now)
         else:
             self.lease.renew(now)
             self.watch.renew(now)
         self.watch.succeeded()
-        told = self.list_gossip.list_updated(now, event)
+        actions = self.list_gossip.list_updated(now, event)
         for server in self.server_list.update(now, event.kind, event.servers):
             self.routing.ejections.forget(server)
-        self._regroup()
-        return told if is_cached else [*told, *self.list_gossip.report(now)]
+        self._refresh_tested_servers()
+        return actions if is_cached else [*actions, *self.list_gossip.report(now)]
 
     def _discovery_time_read(self, now: Microseconds, event: api.DiscoveryTimeRead) -> None:
         self.server_list.discovery_time_read(now, event.time)
@@ -145,15 +146,15 @@
             self.lease.process_paused(now)
         else:
             self.lease.watch_ended(now)
-        # A new process says what it knows at the end of its first turn.
+        # A new process reports its list at the end of its first exchange.
         is_new = event.reason is WatchInterruption.NOT_OPEN
         return [] if is_new else list(self.list_gossip.report(now))
 
-    def _peers_vouch(self, now: Microseconds) -> bool:
+    def _peer_confirms_list(self, now: Microseconds) -> bool:
         return self.lease.source is api.ListSource.PEER and self.lease.state(now) is LeaseState.HELD
 
-    def _regroup(self) -> None:
-        self.routing.regroup()
+    def _refresh_tested_servers(self) -> None:
+        self.routing.refresh_tested_servers()
         under_test = [server.incarnation for server in self.routing.under_test]
         self.shared_health.update_fleet(self.server_list.incarnations(), under_test)
 
@@ -166,8 +167,6 @@
             server.last_response_at = now
             self.statistics.record_load(now, server, event.load)
 
-    # ---- requests ----------------------------------------------------------------------------------
-
     def _stream_started(self, _: Microseconds, event: api.StreamStarted) -> None:
         self.lifecycle.stream_started(event)
 
@@ -182,19 +181,17 @@
             self._exchange(now) if event.token == EXCHANGE_TIMER else self.lifecycle.timer_fired(now, event)
         )
 
-    # ---- rollouts ----------------------------------------------------------------------------------
-
-    def _rollout_moved(self, now: Microseconds, state: api.RolloutState) -> None:
+    def _rollout_state_changed(self, now: Microseconds, state: api.RolloutState) -> None:
         if state.reply in (VoteReply.NONE, VoteReply.COUNTED):
             self.guards.exposure.update(now, state)
             if self.rollout_test.update(now, state):
                 self._forget_obsolete(state.build)
-                self._regroup()
+                self._refresh_tested_servers()
         if state.reply in (VoteReply.OVERLOADED, VoteReply.ERROR, VoteReply.UNKNOWN):
             self.rollout_test.retry_vote(now, self.random)
 
     def _forget_obsolete(self, newest: int) -> None:
-        # Where builds follow one another all day, what is kept of each would add up.
+        # With new builds all day, the statistics of obsolete builds would accumulate.
         self.guards.exposure.forget_keys(newest)
         baseline = self.rollout_test.outcomes.baseline(newest)
         for build in [*self.statistics.profiles, *self.guards.exposure.log.builds()]:
@@ -204,25 +201,24 @@
 
     def _answer_disputed(self, now: Microseconds, event: api.AnswerDisputed) -> None:
         server = self.server_list.by_id.get(event.server)
-        if server and server.age(now) > event.age:  # else it was another build's, or another start's
+        # An answer older than the server's last start came from an earlier incarnation or build.
+        if server and server.age(now) > event.age:
             self.rollout_test.record_dispute(server.info.build)
 
-    # ---- exchanges with other agents ---------------------------------------------------------------
-
     def _gossip_received(self, now: Microseconds, event: api.GossipReceived) -> list[api.Action]:
         if not event.text.startswith(list_messages.PREFIX):
             self.exchange.receive(now, event.sender, event.text, self.rollout_test.test)
             return []
         was_held, withdrawn = self.lease.state(now) is LeaseState.HELD, self.server_list.withdrawn
-        told = self.list_gossip.receive(now, event.sender, event.text)
-        if not was_held and self._peers_vouch(now):
+        actions = self.list_gossip.receive(now, event.sender, event.text)
+        if not was_held and self._peer_confirms_list(now):
             self.watch.defer(now)
         if withdrawn != self.server_list.withdrawn:
-            self._regroup()
-        return told
+            self._refresh_tested_servers()
+        return actions
 
     def _exchange_timer(self, now: Microseconds) -> api.SetTimer:
-        # By the clock: agents exchange in step.
+        # The timer follows the clock, so that all agents exchange at the same times.
         return api.SetTimer(self.schedule.time_left(now), EXCHANGE_TIMER)
 
     def _exchange(self, now: Microseconds) -> Iterable[api.Action]:
--- a/frostfall/gossip/list_gossip.py
+++ b/frostfall/gossip/list_gossip.py
@@ -144,7 +144,7 @@
             self._generation = generation
             self._history.start(generation)
             self._hearsay.start(generation)
-            if self._lease.watch_stands:  # as lists are pushed: there is nothing to report before a change
+            if self._lease.watch_is_open:  # as lists are pushed: there is nothing to report before a change
                 self._reported = self._summary(now)
             return self._first_queries(now)
         before, self._generation = self.generation, generation
@@ -176,7 +176,7 @@
         self._updates_left = MAX_UPDATES_PER_TURN
         if self._restrictions and self._restrictions.expire(now):
             self._withdraw()
-        if self._lease.has_peers and not self._lease.watch_stands and now >= self._next_query_at:
+        if self._lease.has_peers and not self._lease.watch_is_open and now >= self._next_query_at:
             is_new = self._lease.state(now) is LeaseState.STARTING
             yield from self._ask(now, FIRST_QUERIES if is_new else QUERIES_PER_TURN)
         yield from self.report(now)
@@ -233,13 +233,13 @@
             entries[at : at + ENTRIES_PER_FRAGMENT] for at in range(0, len(entries), ENTRIES_PER_FRAGMENT)
         ]
         groups = groups[:MAX_FRAGMENTS] or [[]]
-        vouched_at = self._lease.vouched_at
-        can_compare = vouched_at is not None and self._generation > 0
+        confirmed_at = self._lease.confirmed_at
+        can_compare = confirmed_at is not None and self._generation > 0
         whole = ListUpdate(
             nonce=query.nonce,
             since=min(max(query.generation, self._history.base), self.generation),
             generation=self.generation,
-            age=now - vouched_at if vouched_at is not None and can_compare else None,
+            age=now - confirmed_at if confirmed_at is not None and can_compare else None,
             fragment=0,
             fragments=len(groups),
             is_confirmed=self._is_confirmed,
@@ -267,7 +267,7 @@
     # ---- being told --------------------------------------------------------------------------------
 
     def _take(self, now: Microseconds, peer: int, update: ListUpdate) -> Iterator[api.Action]:
-        if self._lease.watch_stands:
+        if self._lease.watch_is_open:
             self.dropped[DropReason.NOT_NEEDED] += 1
             return
         asked_at = self._query_times.get(update.nonce)
@@ -284,7 +284,7 @@
         if whole is None or self._servers.withdrawn < len(self._restrictions):
             self._lease.peer_is_ahead(now, asked_at - update.age)
             return
-        if self._lease.peer_vouched(now, whole.asked_at - update.age):
+        if self._lease.peer_confirmed(now, whole.asked_at - update.age):
             self._next_query_at = now + REFRESH_PERIOD
         is_news = update.generation > self.generation
         is_confirmed = self._restrictions.all_confirmed
@@ -339,12 +339,12 @@
         if summary == self._reported:
             return
         self._reported = summary
-        vouched_at = self._lease.vouched_at
+        confirmed_at = self._lease.confirmed_at
         yield api.ReportServerList(
             generation=summary.generation,
             source=summary.source,
             lease=summary.state.name.lower(),
-            age=None if vouched_at is None else now - vouched_at,
+            age=None if confirmed_at is None else now - confirmed_at,
             withdrawn=summary.withdrawn,
         )
 
--- a/frostfall/interface.py
+++ b/frostfall/interface.py
@@ -1,9 +1,8 @@
-"""The interface of the decision module: the events it is given and the actions it may take.
+"""The interface of the decision module: the events that it receives and the actions that it returns.
 
-These types belong to the project, not to any protocol. An adapter translates its own protocol into
-them, so that a second one can go through the same decisions. Times are whole microseconds; an event's
-time is the clock handed in beside it. The settings' types stand in `frostfall/deployment.py` and are
-names of this module too.
+The types are independent of any protocol. An adapter translates its protocol into them, so that several
+protocols share the same decisions. Times are whole microseconds; the time of an event is passed beside it.
+The settings' types are defined in `frostfall/deployment.py` and re-exported here.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 class Availability(Enum):
-    """What the server list says of a server."""
+    """The state of a server in the server list."""
 
     UP = auto()
     DRAINING = auto()
@@ -33,7 +32,7 @@
 
 
 class ServerListKind(Enum):
-    """How a piece of the server list relates to what is already known."""
+    """The relation of an update of the server list to the list so far."""
 
     CACHED = auto()  # complete, possibly out of date
     COMPLETE = auto()
@@ -42,7 +41,7 @@
 
 
 class ListSource(Enum):
-    """From whom the last confirmation of the server list came."""
+    """The source of the last confirmation of the server list."""
 
     CONFIGURATION = "configuration"
     PEER = "peer"
@@ -50,16 +49,16 @@
 
 
 class WatchInterruption(Enum):
-    """Why the watch of the server list tells nothing for now, without a call having failed."""
+    """The reason why the watch on the server list is interrupted, other than a failed call."""
 
     NOT_OPEN = "the process has just started"
-    SILENT = "a call was not answered in time"
-    MOVED = "it is opened at another address"
-    PAUSED = "the process was stopped for a while"
+    SILENT = "discovery did not answer a call in time"
+    MOVED = "the watch is being opened at another address"
+    PAUSED = "the process was paused"
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The result of an attempt or of a health check."""
 
     SUCCESS = auto()
     ERROR = auto()
@@ -72,12 +71,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this proves that the server never ran the attempt."""
+        """Whether the outcome proves that the server never ran the attempt."""
         return self in (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
 
 
 class RolloutPhase(Enum):
-    """Where the newest build stands."""
+    """The phase of the newest build's rollout."""
 
     TRIAL = auto()
     ROLLING_BACK = auto()
@@ -86,18 +85,18 @@
 
 
 class VoteReply(Enum):
-    """What became of a vote; NONE for news that answers no vote."""
+    """The platform's reply to a vote; NONE for an update that replies to no vote."""
 
     NONE = auto()
     COUNTED = auto()
     VOID = auto()
     OVERLOADED = auto()
     ERROR = auto()
-    UNKNOWN = auto()  # no answer came: it may count
+    UNKNOWN = auto()  # no reply arrived, so that the vote may have counted
 
 
 class Verdict(Enum):
-    """What a vote says of a build."""
+    """The verdict of a vote on a build."""
 
     NONE = auto()
     ON = auto()
@@ -105,17 +104,14 @@
     BACK = auto()
 
 
-# ---- events ------------------------------------------------------------------------------------
-
-
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server says of its load; None where it does not say."""
+    """A server's report of its load; None for values that it does not report."""
 
-    in_flight: float | None = None  # requests it holds
-    queued: float | None = None  # requests that wait
+    in_flight: float | None = None  # requests at the server
+    queued: float | None = None  # requests in its queue
     cpu: float | None = None  # share of its cores in use
-    service_time_ms: float | None = None  # recent service time without waiting
+    service_time_ms: float | None = None  # recent service time without queueing
     served_per_second: float | None = None
 
 
@@ -134,34 +130,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerListUpdated:
-    """News of the server list."""
+    """A new server list, a change of the list, or a failure to get one."""
 
     kind: ServerListKind
     servers: tuple[Server, ...]
-    generation: int = 0  # of the list, by which agents compare theirs
+    generation: int = 0  # generation of the list, by which agents compare their lists
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryTimeRead:
-    """Discovery has told the time by its own clock, to about a second; an update of the list may follow."""
+    """The time by discovery's clock, to about a second; an update of the list may follow."""
 
     time: Microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class WatchInterrupted:
-    """Changes of the server list may be missed from now on, until it is updated again."""
+    """An interruption of the watch: changes of the server list may be missed until the next update."""
 
     reason: WatchInterruption
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, for which exactly one final answer is owed."""
+    """A client's request, which gets exactly one final answer."""
 
     request: str
     class_name: str
-    deadline: Microseconds  # clock time at which this try is given up
+    deadline: Microseconds  # clock time at which the client gives up this request
     key: str | None = None
     service_time_hint: Microseconds | None = None
     tenant: str | None = None
@@ -170,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """An answer has begun to stream; the attempt now belongs to the client."""
+    """The beginning of a streamed answer: its attempt is not cancelled, and no other answer is given."""
 
     request: str
     attempt: int
@@ -178,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended."""
+    """The end of one attempt."""
 
     request: str
     attempt: int
@@ -191,28 +187,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; no answer is owed any more."""
+    """The disconnection of a client, whose request no longer awaits an answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerDue:
-    """The agent can wait no longer: the request gets its final answer now, whatever is out for it."""
+    """The agent can wait no longer: the request gets its final answer now, even with attempts in flight."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set has come due."""
+    """The expiry of a timer that was set."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """The result of a probe."""
+    """The result of a health check."""
 
     server: int
     outcome: Outcome
@@ -222,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message of another agent; it may be anything."""
+    """A message from another agent, with any content."""
 
     sender: int
     text: str
@@ -230,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutState:
-    """Where the newest build stands, as it was a little while ago."""
+    """The state of the newest build's rollout, which may be slightly out of date."""
 
     build: int
     stage: int
@@ -242,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BuildTally:
-    """What the platform counted of one build and class in a sample of all attempts."""
+    """The platform's counts of one build and class in a sample of all attempts."""
 
     build: int
     class_name: str
@@ -254,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerDisputed:
-    """A client has judged an answer wrong."""
+    """A client's dispute of an answer, which it considers wrong."""
 
     server: int
     class_name: str
@@ -263,7 +259,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerDegraded:
-    """A server takes or gives bytes too slowly in the middle of an exchange, whose end is yet to come."""
+    """A server that reads or sends bytes too slowly during an exchange that has not ended."""
 
     server: int
 
@@ -286,8 +282,6 @@
     | DiscoveryTimeRead
 )
 
-# ---- actions -----------------------------------------------------------------------------------
-
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
@@ -295,7 +289,7 @@
 
     request: str
     server: int
-    timeout: Microseconds = 0  # 0: until the client gives up
+    timeout: Microseconds = 0  # 0: until the request's deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -308,7 +302,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not served, and trying again is harmless."""
+    """Final answer: the request was not served, and a retry by the client is harmless."""
 
     request: str
     retry_after: Microseconds = 0
@@ -316,14 +310,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: not served, and nothing is promised."""
+    """Final answer: the request was not served, and may have run."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Request a TimerFired event after a delay."""
 
     delay: Microseconds
     token: str
@@ -331,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckServerHealth:
-    """Check a server."""
+    """Send a health check to a server."""
 
     server: int
 
@@ -346,18 +340,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchServerList:
-    """Ask for the changes of the server list from now on."""
+    """Request the changes of the server list from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportServerList:
-    """For the operators: what is known of the server list has changed, or the ground to act on it."""
+    """Report a changed generation, source or lease of the server list, or withdrawn servers, to operators."""
 
-    generation: int  # that is known of, by the last confirmation
+    generation: int  # latest generation by the last confirmation
     source: ListSource
-    lease: str  # on what ground the list is acted on
-    age: Microseconds | None  # since discovery gave it; None: nobody has passed one on
-    withdrawn: int  # servers out of use by the claims of peers
+    lease: str  # name of the lease state, in lower case
+    age: Microseconds | None  # time since discovery's last confirmation, or None without one
+    withdrawn: int  # servers not used because of peers' claims
 
 
 @dataclass(frozen=True, slots=True)
@@ -371,7 +365,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     text: str
 
@@ -388,4 +382,4 @@
     | CastVote
     | WriteLog
 )
-Action = Effect | ReportServerList  # the last changes nothing, and not every driver passes it on
+Action = Effect | ReportServerList  # a report has no effect on requests, and some drivers ignore it
--- a/frostfall/mechanisms/fleet_statistics.py
+++ b/frostfall/mechanisms/fleet_statistics.py
@@ -70,7 +70,7 @@
 
     def record_end(self, now: Microseconds, server: ServerState, *, served: bool) -> None:
         """An attempt has ended."""
-        server.fade(now, self._parameters.server_memory)
+        server.decay(now, self._parameters.server_memory)
         self.throughput.record(now, len(self._servers.available), served=served)
 
     def record_error(self, server: ServerState, *, failed: bool) -> None:
--- a/frostfall/mechanisms/server_list.py
+++ b/frostfall/mechanisms/server_list.py
@@ -23,7 +23,7 @@
     def begin_update(self, now: Microseconds, kind: ServerListKind) -> None:
         """A list, or a change of one, is about to be taken over."""
 
-    def estimate(self, now: Microseconds, listed_start: Microseconds) -> Microseconds:
+    def estimate(self, now: Microseconds, reported_start: Microseconds) -> Microseconds:
         """When a server started that is listed for the first time now; 0: long ago."""
 
 
--- a/frostfall/model/rollouts.py
+++ b/frostfall/model/rollouts.py
@@ -19,7 +19,7 @@
 from frostfall.mechanisms.sequential_test import Innovations
 from frostfall.mechanisms.server_list import ServerList
 from frostfall.model.event_queue import SECOND, Micros
-from frostfall.policy.learning import STATISTICS, UNREACHABLE_EJECTION
+from frostfall.policy.learning import STATISTICS_PARAMETERS, UNREACHABLE_EJECTION
 from frostfall.policy.rollout_test import EXCHANGE_PERIOD, RolloutTest
 from frostfall.shared_health.server_health import SharedHealth
 
@@ -97,7 +97,7 @@
             replace(settings, agents=AGENTS),
             self._schedule,
             SharedHealth(AGENTS, self._schedule.exchanges),
-            FleetStatistics(STATISTICS, servers),
+            FleetStatistics(STATISTICS_PARAMETERS, servers),
         )
         self._answers: list[_Answer] = []
         self._state = api.RolloutState(OLD_BUILD, 0, RolloutPhase.RELEASED, 1.0, 0, api.VoteReply.NONE)
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -262,7 +262,7 @@
         """Serve until stopped; `ready` is called once clients can connect. OSError where they cannot.
 
         Where the task that runs this is cancelled, all that was accepted gets its final answer first, within
-        `drain.ABANDON_SECONDS`.
+        `drain.IMMEDIATE_DRAIN_SECONDS`.
         """
         with log.bind_agent_name(self.config.name):  # another agent of this process has another name
             listener = await open_listener_patiently(self.config.listen)
@@ -369,7 +369,7 @@
 
 def _max_event_gap(settings: Settings) -> int:
     """The microseconds between two events beyond which the grace of a drain may have passed unnoticed."""
-    return max(settings.rules.drain_grace - drain.HELD_UP_MICROSECONDS, drain.HELD_UP_MICROSECONDS)
+    return max(settings.rules.drain_grace - drain.MAX_PAUSE_MICROSECONDS, drain.MAX_PAUSE_MICROSECONDS)
 
 
 def _usable_settings(config: Config) -> Settings:
--- a/frostfall/net/graceful_shutdown.py
+++ b/frostfall/net/graceful_shutdown.py
@@ -84,7 +84,7 @@
         """Wait for a moment of the schedule; the one to go on by, which is another if abandoned meanwhile."""
         with anyio.move_on_after(max(moment - monotonic(), 0.0)):
             await self._abandoned.wait()
-        return drain.abandoned(monotonic()) if self._abandoned.is_set() else schedule
+        return drain.immediate(monotonic()) if self._abandoned.is_set() else schedule
 
     def _enter(self, state: AgentState) -> None:
         self.state = state
--- a/frostfall/policy/__init__.py
+++ b/frostfall/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: every decision on requests and votes, sans-I/O."""
+"""The policies: all decisions on requests and votes, without I/O."""
--- a/frostfall/policy/drain.py
+++ b/frostfall/policy/drain.py
@@ -1,27 +1,30 @@
-"""When a draining agent stops admitting, answers and ends (types: frostfall/interface.py)."""
+"""The schedule by which a draining agent answers its last requests and exits (frostfall/interface.py)."""
 
 from dataclasses import dataclass
 
-LINGER_SECONDS = 0.7  # after the order to stop, new connections may still come, by the protocol
-LONGEST_COUNTED_SECONDS = 3.0  # a longer deadline does not put off the earliest SIGKILL, by the protocol
-ANSWER_MARGIN_SECONDS = 0.3  # before that SIGKILL, what is open gets its final answer ...
-EXIT_MARGIN_SECONDS = 0.05  # ... and the agent ends
-HELD_UP_MICROSECONDS = 150_000  # that a running process may be held up for, which the grace of a drain covers
-ABANDON_SECONDS = 0.25  # that an agent whose task was cancelled takes to deliver its last answers
+LINGER_SECONDS = 0.7  # after the order to stop, during which the protocol still allows new connections
+MAX_DEADLINE_SECONDS = 3.0  # by the protocol, a longer deadline does not delay the earliest SIGKILL
+ANSWER_MARGIN_SECONDS = 0.3  # before the earliest SIGKILL, at which open requests get their final answers
+EXIT_MARGIN_SECONDS = 0.05  # before the earliest SIGKILL, at which the agent exits
+MAX_PAUSE_MICROSECONDS = 150_000  # longest delay of a running process that the drain grace has to cover
+IMMEDIATE_DRAIN_SECONDS = 0.25  # for an agent whose task was cancelled to deliver its last answers
 
 
 @dataclass(frozen=True, slots=True)
 class DrainSchedule:
-    """The moments of a drain, in monotonic seconds."""
+    """The times of a drain, in seconds of the monotonic clock."""
 
-    admission_ends_at: float  # no connection is accepted from here on, and each query is rejected
-    answers_due_at: float  # what is still open is given up, with its final answer
-    exit_at: float  # clients that have not read their answers by now are cut off
+    admission_ends_at: float  # from then on no connection is accepted, and each query is rejected
+    answers_due_at: float  # open requests are given up and get their final answers
+    exit_at: float  # the connections of clients that have not read their answers are closed
 
 
 def graceful(now: float, longest_deadline: float) -> DrainSchedule:
-    """The schedule of a drain that begins now; `longest_deadline` of all classes, in seconds."""
-    kill_at = now + LINGER_SECONDS + min(longest_deadline, LONGEST_COUNTED_SECONDS)
+    """Return the schedule of a drain that begins now.
+
+    `longest_deadline` is the longest deadline of all request classes, in seconds.
+    """
+    kill_at = now + LINGER_SECONDS + min(longest_deadline, MAX_DEADLINE_SECONDS)
     admission_ends_at = now + LINGER_SECONDS
     answers_due_at = max(kill_at - ANSWER_MARGIN_SECONDS, (admission_ends_at + kill_at) / 2)
     return DrainSchedule(
@@ -29,6 +32,6 @@
     )
 
 
-def abandoned(now: float) -> DrainSchedule:
-    """The schedule of an agent that is to end at once."""
-    return DrainSchedule(now, now, now + ABANDON_SECONDS)
+def immediate(now: float) -> DrainSchedule:
+    """Return the schedule of an agent that has to exit at once."""
+    return DrainSchedule(now, now, now + IMMEDIATE_DRAIN_SECONDS)
--- a/frostfall/policy/endpoint_lease.py
+++ b/frostfall/policy/endpoint_lease.py
@@ -1,8 +1,9 @@
-"""Until when the endpoint list may be acted on, and on whose confirmation (types: frostfall/interface.py).
+"""The lease on the endpoint list: how long its servers may be used (types: frostfall/interface.py).
 
-Every attempt asks this lease, when it begins and again just before its first byte. While the watch of the
-list stands, discovery itself vouches for it; its driver reports a silent watch within seconds. Otherwise the
-list is valid for `DURATION` since somebody vouched for it: discovery, or a peer that had it from discovery.
+Every attempt checks the lease when it begins and again just before its first byte. While the watch on
+discovery is open, discovery itself confirms the list; the driver of the watch reports a silent watch within
+seconds. Without a watch, the list is valid for `LEASE_DURATION` after discovery last confirmed it, either to
+this agent or to a peer that passed the confirmation on.
 """
 
 import math
@@ -13,161 +14,171 @@
 from frostfall.interface import ListSource, Microseconds
 from frostfall.records import ServerState
 
-DURATION = 6_000_000  # us after discovery had a change, from which on each agent counts as notified of it
-DURATION_AFTER_MOVE = 4_000_000  # us after the watch was moved to another address, likewise
-FIRST_CONFIRMATION_PATIENCE = 3_000_000  # us that a new process waits for a confirmation
-FIRST_CONFIRMATION_PEERS = 12  # that have answered without a fresh one, from which on it waits no longer
-OUTAGE_PEERS = 6  # that have no fresh one either, for an outage ...
-OUTAGE_DIVISOR = 2  # ... or this part of a small fleet
-PEER_MEMORY = 3_000_000  # us for which such an answer counts
-AHEAD_MEMORY = 1_000_000  # us for which a fresh confirmation counts that could not be taken over
-CATCH_UP_PATIENCE = 1_000_000  # us that discovery's answer is waited for after the process was stopped
-WITNESS_AGE = 1_000_000  # us for which a server's own answer shows that it still serves
+# Microseconds. Once discovery has had a change for this long, every agent counts as notified of it.
+LEASE_DURATION = 6_000_000
+LEASE_DURATION_AFTER_MOVE = 4_000_000  # us from the move of the watch to another address
+FIRST_CONFIRMATION_TIMEOUT = 3_000_000  # us that a new process waits for its first confirmation
+# A new process stops waiting once this many peers have answered without a valid confirmation.
+FIRST_CONFIRMATION_PEERS = 12
+# Discovery counts as down once this many peers, or this part of a small fleet, have no valid confirmation.
+OUTAGE_PEERS = 6
+OUTAGE_DIVISOR = 2
+PEER_ANSWER_LIFETIME = 3_000_000  # us for which a peer's answer without a valid confirmation is counted
+PEER_AHEAD_LIFETIME = 1_000_000  # us for which a peer's confirmation that cannot be applied means BEHIND
+CATCH_UP_TIMEOUT = 1_000_000  # us to wait for an answer of discovery after a pause of the process
+RECENT_SUCCESS_AGE = 1_000_000  # us for which a successful response shows that its server still serves
 
 
 class LeaseState(Enum):
-    """On what ground the list is acted on."""
+    """Whether the list may be acted on, and for what reason."""
 
-    HELD = "discovery has vouched for the list within the lease, here or at a peer"
-    CATCHING_UP = "the process was stopped, and discovery has not answered since"
-    STARTING = "nobody has vouched for the list of the configuration yet"
-    OUTAGE = "of some agents in reach none has had a confirmation of discovery within the lease"
-    BEHIND = "a peer has a confirmation of discovery that cannot be taken over yet"
+    HELD = "discovery has confirmed the list to this agent or a peer within the lease duration"
+    CATCHING_UP = "the process was paused, and discovery has not answered since"
+    STARTING = "the list is from the configuration, and neither discovery nor a peer has confirmed it"
+    OUTAGE = "enough peers answer, and none has a confirmation of discovery within the lease duration"
+    BEHIND = "a peer has a confirmation of discovery that this agent cannot apply yet"
     EXPIRED = "neither discovery nor enough peers answer"
 
 
 @dataclass(slots=True)
-class _Voucher:
-    """Who vouched last, and when discovery gave its confirmation."""
+class _Confirmation:
+    """The last confirmation of the list, and the time at which discovery gave it."""
 
     source: ListSource = ListSource.CONFIGURATION
     at: Microseconds | None = None
 
 
 class EndpointLease:
-    """Owns the answer to whether the list, or one entry of it, may be acted on."""
+    """Decides whether attempts and health checks may go to servers of the endpoint list."""
 
     def __init__(self, settings: api.Settings) -> None:
-        """Without a list. Where lists are pushed, whoever drives a watch says that none stands yet."""
+        """Create a lease without a list.
+
+        If lists are pushed, the watch counts as open until the driver reports that it is not.
+        """
         self.has_peers = settings.limits.gossip and settings.agents > 1
         self._peer_count = settings.agents - 1
-        self._watch_stands = not settings.needs_watch
-        self._voucher = _Voucher()
+        self._watch_is_open = not settings.needs_watch
+        self._confirmation = _Confirmation()
         self._started_at: Microseconds = 0
-        self._moved_until = math.inf  # the end of the lease after a move of the watch
-        self._ahead_at: Microseconds | None = None  # when a fresh confirmation last could not be taken over
-        self._catching_up_until: Microseconds | None = None  # after a stop of the process
-        self._uninformed: dict[int, Microseconds] = {}  # peers without a fresh one, by their last answers
-        self._valid_until: float = 0.0  # until when nothing needs to be looked at again
+        self._lease_end_after_move = math.inf
+        # When a peer last passed on a valid confirmation that could not be applied.
+        self._peer_ahead_at: Microseconds | None = None
+        self._catching_up_until: Microseconds | None = None  # set by a pause of the process
+        # The times of the last answers of peers that had no valid confirmation.
+        self._unconfirmed_peers: dict[int, Microseconds] = {}
+        self._valid_until: float = 0.0  # before this time the state is HELD without further checks
 
     @property
     def source(self) -> ListSource:
-        """From whom the last confirmation came."""
-        return self._voucher.source
+        """The source of the last confirmation."""
+        return self._confirmation.source
 
     @property
-    def watch_stands(self) -> bool:
-        """Whether discovery itself tells every change at once."""
-        return self._watch_stands
+    def watch_is_open(self) -> bool:
+        """Whether discovery notifies this agent of every change at once."""
+        return self._watch_is_open
 
     @property
-    def vouched_at(self) -> Microseconds | None:
-        """When discovery last confirmed the list; None: nobody has passed one on."""
-        return self._voucher.at
-
-    # ---- what happens ------------------------------------------------------------------------------
+    def confirmed_at(self) -> Microseconds | None:
+        """When discovery last confirmed the list, or None without any confirmation."""
+        return self._confirmation.at
 
     def start(self, now: Microseconds) -> None:
-        """A new process has the list of its configuration."""
+        """Begin with the list of the configuration, in a new process."""
         self._started_at = now
         self._update(now)
 
     def renew(self, now: Microseconds) -> None:
-        """Discovery has answered: its watch stands from here on."""
-        self._voucher = _Voucher(ListSource.DISCOVERY, now)
-        self._ahead_at = None
-        self._watch_stands = True
-        self._moved_until = math.inf
+        """Record an answer of discovery, which confirms the list and opens the watch."""
+        self._confirmation = _Confirmation(ListSource.DISCOVERY, now)
+        self._peer_ahead_at = None
+        self._watch_is_open = True
+        self._lease_end_after_move = math.inf
         self._catching_up_until = None
         self._update(now)
 
     def watch_ended(self, now: Microseconds) -> None:
-        """The watch broke, fell silent or could not be opened."""
-        self._watch_stands = False
+        """Record that the watch broke, became silent or could not be opened."""
+        self._watch_is_open = False
         self._update(now)
 
     def watch_moved(self, now: Microseconds) -> None:
-        """The watch is opened anew at another address."""
-        if math.isinf(self._moved_until):
-            self._moved_until = now + DURATION_AFTER_MOVE
+        """Record that the watch is being opened again at another address."""
+        if math.isinf(self._lease_end_after_move):
+            self._lease_end_after_move = now + LEASE_DURATION_AFTER_MOVE
         self.watch_ended(now)
 
     def process_paused(self, now: Microseconds) -> None:
-        """The process was stopped until now: what has changed waits in a socket, or was never sent."""
-        # Requests wait in other sockets, and may be read first. A watch that stood vouches for nothing then.
-        self._catching_up_until = now + CATCH_UP_PATIENCE
+        """Record that the process was paused until now."""
+        # Changes of the list may be unread in a socket, or were never sent. Requests wait in other sockets
+        # and may be read before the changes, so an open watch proves nothing.
+        self._catching_up_until = now + CATCH_UP_TIMEOUT
         self.watch_ended(now)
 
-    def peer_answered(self, now: Microseconds, peer: int, vouched_at: Microseconds | None) -> None:
-        """A peer is in reach, whose own last confirmation is of then; None: it has none."""
-        if vouched_at is None or now >= vouched_at + DURATION:
-            self._uninformed[peer] = now
+    def peer_answered(self, now: Microseconds, peer: int, confirmed_at: Microseconds | None) -> None:
+        """Record an answer of a peer whose last confirmation is of `confirmed_at`; None if it has none."""
+        if confirmed_at is None or now >= confirmed_at + LEASE_DURATION:
+            self._unconfirmed_peers[peer] = now
         else:
-            self._uninformed.pop(peer, None)
+            self._unconfirmed_peers.pop(peer, None)
+
+    def peer_is_ahead(self, now: Microseconds, confirmed_at: Microseconds) -> None:
+        """Record a peer's confirmation of a list that this agent lacks in part or does not trust yet."""
+        if now < confirmed_at + LEASE_DURATION:
+            self._peer_ahead_at = now
 
-    def peer_is_ahead(self, now: Microseconds, vouched_at: Microseconds) -> None:
-        """A peer passes on a confirmation, but what it brings is incomplete here or not believed yet."""
-        if now < vouched_at + DURATION:
-            self._ahead_at = now
+    def peer_confirmed(self, now: Microseconds, confirmed_at: Microseconds) -> bool:
+        """Record a peer's confirmation of the list that this agent has.
 
-    def peer_vouched(self, now: Microseconds, vouched_at: Microseconds) -> bool:
-        """A peer passes on discovery's confirmation of all that is known here; whether it is news."""
-        if self._voucher.at is not None and vouched_at <= self._voucher.at:
+        Return whether the confirmation is later than the one before.
+        """
+        if self._confirmation.at is not None and confirmed_at <= self._confirmation.at:
             return False
-        self._voucher = _Voucher(ListSource.PEER, vouched_at)
-        self._ahead_at = None
-        self._moved_until = math.inf
+        self._confirmation = _Confirmation(ListSource.PEER, confirmed_at)
+        self._peer_ahead_at = None
+        self._lease_end_after_move = math.inf
         self._update(now)
         return True
 
-    # ---- what follows ------------------------------------------------------------------------------
-
     def _update(self, now: Microseconds) -> None:
         if self._catching_up_until is not None:
             self._valid_until = 0.0
-        elif self._watch_stands:
+        elif self._watch_is_open:
             self._valid_until = math.inf
         else:
-            at = self._voucher.at
-            self._valid_until = min(at + DURATION, self._moved_until) if at is not None else 0.0
+            at = self._confirmation.at
+            self._valid_until = (
+                min(at + LEASE_DURATION, self._lease_end_after_move) if at is not None else 0.0
+            )
 
     def state(self, now: Microseconds) -> LeaseState:
-        """On what ground the list is acted on now."""
+        """Return the state of the lease now."""
         if self._catching_up_until is not None:
             if now < self._catching_up_until:
                 return LeaseState.CATCHING_UP
-            self._catching_up_until = (
-                None  # discovery cannot be reached: the lease goes on from its last confirmation
-            )
+            # Discovery is out of reach: the lease continues from the last confirmation.
+            self._catching_up_until = None
             self._update(now)
         if now < self._valid_until:
             return LeaseState.HELD
-        if not self.has_peers:  # nobody else could know more
+        if not self.has_peers:  # no other agent could have a later confirmation
             return LeaseState.OUTAGE
-        if self._ahead_at is not None and now - self._ahead_at < AHEAD_MEMORY:
+        if self._peer_ahead_at is not None and now - self._peer_ahead_at < PEER_AHEAD_LIFETIME:
             return LeaseState.BEHIND
-        uninformed = sum(now - at < PEER_MEMORY for at in self._uninformed.values())
-        if self._voucher.at is None and now < self._started_at + FIRST_CONFIRMATION_PATIENCE:
-            enough = uninformed >= min(FIRST_CONFIRMATION_PEERS, self._peer_count)
+        unconfirmed = sum(now - at < PEER_ANSWER_LIFETIME for at in self._unconfirmed_peers.values())
+        if self._confirmation.at is None and now < self._started_at + FIRST_CONFIRMATION_TIMEOUT:
+            enough = unconfirmed >= min(FIRST_CONFIRMATION_PEERS, self._peer_count)
             return LeaseState.OUTAGE if enough else LeaseState.STARTING
-        enough = uninformed >= min(OUTAGE_PEERS, math.ceil(self._peer_count / OUTAGE_DIVISOR))
+        enough = unconfirmed >= min(OUTAGE_PEERS, math.ceil(self._peer_count / OUTAGE_DIVISOR))
         return LeaseState.OUTAGE if enough else LeaseState.EXPIRED
 
     def allows(self, now: Microseconds, server: ServerState) -> bool:
-        """Whether an attempt or a health check may go to a listed server now."""
-        if now < self._valid_until:  # nearly always
+        """Return whether an attempt or a health check may go to a server of the list now."""
+        if now < self._valid_until:  # the usual case
             return True
         state = self.state(now)
-        if state in (LeaseState.EXPIRED, LeaseState.BEHIND):  # beside the list, its own answer vouches for it
-            return server.served_at is not None and now - server.served_at < WITNESS_AGE
+        if state in (LeaseState.EXPIRED, LeaseState.BEHIND):
+            # Without a valid list, only a recent response shows that the server still serves.
+            return server.served_at is not None and now - server.served_at < RECENT_SUCCESS_AGE
         return state not in (LeaseState.STARTING, LeaseState.CATCHING_UP)
--- a/frostfall/policy/guards.py
+++ b/frostfall/policy/guards.py
@@ -1,4 +1,4 @@
-"""The rules that every attempt and every rejection has to pass (types: frostfall/interface.py)."""
+"""The rules that every attempt and every rejection must satisfy (types: frostfall/interface.py)."""
 
 import math
 
@@ -12,26 +12,27 @@
 from frostfall.policy.rollout_test import RolloutTest
 from frostfall.records import Attempt, PendingRequest, ServerState
 
-SAFE_DEVIATIONS = 2.0  # standard deviations of chance that the warm-up budget keeps clear of
-MIN_WARM_UP_RATE = 1.0  # sends a second that it allows all agents together at least
+SAFE_DEVIATIONS = 2.0  # standard deviations by which the warm-up budget stays below the overload limit
+MIN_WARM_UP_RATE = 1.0  # attempts per second that the budget of a server allows all agents together at least
 
 
 class ExposureGuard:
-    """Keeps the attempts at a build under rollout within its cap."""
+    """Keeps the exposure of a build under rollout, its share of the requests, within its cap."""
 
     def __init__(self, settings: api.Settings, servers: ServerList) -> None:
         self.rollout, self.servers, self.drain_grace = settings.rollout, servers, settings.rules.drain_grace
         self.state: api.RolloutState | None = None
         self.first_covered_build = math.inf  # builds from this one on are under rollout, announced or not
         self.log = ExposureLog(settings.rollout.exposure_window if settings.rollout else 0)
-        self.latest_builds = dict[str, int]()  # that answered a key, where keys only go forward
+        # The latest build that answered each key, if keys may only move to later builds.
+        self.latest_builds = dict[str, int]()
 
     def group(self, request_class: api.RequestClass) -> str:
-        """The requests that one of this class counts with."""
+        """Return the name of the exposure count for requests of this class."""
         return request_class.name if self.rollout and self.rollout.exposure_per_class else ""
 
     def update(self, now: Microseconds, state: api.RolloutState) -> None:
-        """Follow the rollout."""
+        """Apply a new state of the rollout."""
         if self.state and state.cap < self.state.cap:
             self.log.restart_at(now + self.drain_grace)
         self.state = state
@@ -39,38 +40,40 @@
             self.first_covered_build = state.build + (state.phase is RolloutPhase.RELEASED)
 
     def allows(self, now: Microseconds, request: PendingRequest, build: int) -> bool:
-        """Whether a request may be sent to a build."""
+        """Return whether a request may be sent to a build."""
         rollout, state = self.rollout, self.state
-        if rollout is None or state is None:  # not known yet: only the lowest build cannot be on trial
+        if rollout is None or state is None:  # state unknown: only the lowest build cannot be on trial
             return rollout is None or build == self.servers.lowest_build
-        if rollout.forward_only_keys and self._was_answered_later(request, state, build):
+        if rollout.forward_only_keys and self._was_answered_by_later_build(request, state, build):
             return False
         if build < self.first_covered_build:
             return True
         stage, cap = (state.stage, state.cap) if build == state.build else (0, rollout.stage_caps[0])
         if cap <= 0 or (stage < rollout.idempotent_only_stages and not request.request_class.idempotent):
             return False
-        # A lowered cap binds here at once, and the requests taken before its grace are then forgotten.
+        # A lowered cap applies at once. After the grace period, requests taken before it no longer count.
         counts = self.log.counts(now, build, request.exposure_group)
         return counts.sent + 1 <= rollout.uncounted_attempts + cap * counts.taken
 
-    def _was_answered_later(self, request: PendingRequest, state: api.RolloutState, build: int) -> bool:
+    def _was_answered_by_later_build(
+        self, request: PendingRequest, state: api.RolloutState, build: int
+    ) -> bool:
         is_live = state.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED)
         return is_live and build < self.latest_builds.get(request.arrival.key or "", 0)
 
     def record_success(self, request: PendingRequest, build: int) -> None:
-        """A build has answered: where keys only go forward, earlier ones get this key no more."""
+        """Record that a build has answered; if keys only move forward, earlier builds lose the key."""
         key, rollout = request.arrival.key, self.rollout
         if key and rollout and rollout.forward_only_keys and build >= self.first_covered_build:
             self.latest_builds[key] = build
 
     def forget_keys(self, newest: int) -> None:
-        """Forget the keys that builds before the newest one have answered."""
+        """Remove the keys that builds before the newest one have answered."""
         self.latest_builds = {key: build for key, build in self.latest_builds.items() if build >= newest}
 
 
 class AttemptGuards:
-    """Says what is allowed, whatever other policies would choose."""
+    """Decides which attempts and rejections are allowed, independently of the other policies."""
 
     def __init__(
         self, settings: api.Settings, servers: ServerList, statistics: FleetStatistics, test: RolloutTest
@@ -81,18 +84,23 @@
         self.exposure = ExposureGuard(settings, servers)
 
     def may_send(self, now: Microseconds, request: PendingRequest, server: ServerState) -> bool:
-        """Whether a new attempt may begin."""
+        """Return whether a new attempt may begin."""
         if not self._allows(now, request, server, request.attempts):
             return False
         return server.age(now) >= self.rules.warm_up_duration or self._accrue_credit(now, server) >= 1
 
     def may_write(self, now: Microseconds, request: PendingRequest, attempt: Attempt) -> bool:
-        """Whether an attempt that has begun may still go out; its exposure counts from now, if it may."""
-        # While it waits for a connection, a grace or window ends, a cap falls, its server restarts.
+        """Return whether an attempt that has begun may still be written.
+
+        Its exposure is counted from now if it may, and not at all otherwise.
+        """
+        # While an attempt waits for a connection, a grace period or a window may end, a cap may be lowered or
+        # its server may restart.
         build, group = attempt.server.info.build, request.exposure_group
         self.exposure.log.withdraw_sent(attempt.sent_at, build, group)
         others = [other for other in request.attempts if other is not attempt]
-        if allowed := self._allows(now, request, attempt.server, others):  # its warm-up budget is paid
+        # The warm-up credit is not checked again, as the attempt has already spent its own.
+        if allowed := self._allows(now, request, attempt.server, others):
             self.exposure.log.record_sent(now, build, group)
         return allowed
 
@@ -113,7 +121,7 @@
         return self.exposure.allows(now, request, info.build)
 
     def is_usable(self, now: Microseconds, server: ServerState) -> bool:
-        """Whether the list still says that a server is up, and may still be acted on."""
+        """Return whether a server is on the endpoint list as up, and the lease allows its use."""
         listed = self.servers.by_id.get(server.info.id) is server
         return listed and server.info.availability is Availability.UP and self.lease.allows(now, server)
 
@@ -127,17 +135,19 @@
         return in_scope and now - earlier.sent_at < request_class.deduplication_window
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Whether a client that tries again does no harm."""
+        """Return whether a retry by the client is harmless."""
         harmless = request.request_class.repeatable_anywhere
         return harmless or not any(attempt.may_have_run for attempt in request.attempts)
 
     def _accrue_credit(self, now: Microseconds, server: ServerState) -> float:
-        # Our part of what a server carries (served: more may be asked than can be done), times its least
-        # capacity now, is safe up to the multiple that fells it, less chance, if all keep to theirs.
-        # A fleet all cold serves less, and would be allowed less still. What was carried counts.
+        # If every agent stays within its share, the server stays below the multiple of its load that
+        # overloads it. An agent's share is the peak rate of its own requests served per server, scaled by the
+        # warm-up share and reduced by a margin for random variation. The served rate is used because more may
+        # be requested than can be served. The peak is used because a fleet that is entirely cold serves less,
+        # and a budget by its current rate would shrink further.
         self.statistics.served(now)
         own, window = self.statistics.throughput.peak_per_server, self.rules.overload_window
-        multiple = self.rules.overload_multiple * server.warmth(now, self.rules)
+        multiple = self.rules.overload_multiple * server.warm_up_share(now, self.rules)
         test = self.rollout_test.test
         everyone = max(own, test.pooled_served_per_server if test else 0.0)
         budget = max(multiple * everyone * window / 1e6, 1e-9)
--- a/frostfall/policy/learning.py
+++ b/frostfall/policy/learning.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt tells of its server (types: frostfall/interface.py)."""
+"""Statistics and ejections of servers, learned from ended attempts (types: frostfall/interface.py)."""
 
 from functools import partial
 
@@ -9,7 +9,7 @@
 from frostfall.records import Attempt, PendingRequest
 from frostfall.shared_health.server_health import SharedHealth
 
-STATISTICS = StatisticsParameters(
+STATISTICS_PARAMETERS = StatisticsParameters(
     error_weight=0.15,
     slowness_weight=0.07,
     fleet_weight=0.05,
@@ -22,16 +22,16 @@
     initial_queue_length=1.0,
     server_memory=3_000_000,  # us
     rate_memory=2_000_000,  # us
-    peak_memory=20_000_000,  # us: it fades so slowly as a fleet warms up
+    peak_memory=20_000_000,  # us: long enough for a cold fleet to warm up before the peak has faded
 )
-OVERLOAD_EJECTION = 300_000  # us that an overloaded server is left alone
+OVERLOAD_EJECTION = 300_000  # us for which an overloaded server is ejected
 UNREACHABLE_EJECTION = partial(ExponentialBackoff, first=300_000, longest=4_000_000)  # us
-ANSWERS = (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED)
-ERRORS = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET)
+ANSWERED_OUTCOMES = (Outcome.SUCCESS, Outcome.ERROR, Outcome.OVERLOADED)
+ERROR_OUTCOMES = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET)
 
 
-class Learning:
-    """Judges servers by ended attempts."""
+class OutcomeRecorder:
+    """Updates statistics, health and ejections of servers by the outcomes of attempts."""
 
     def __init__(self, statistics: FleetStatistics, shared_health: SharedHealth) -> None:
         self.statistics, self.shared_health = statistics, shared_health
@@ -39,22 +39,23 @@
     def record_outcome(
         self, now: Microseconds, request: PendingRequest, attempt: Attempt, event: api.AttemptEnded
     ) -> None:
-        """Learn from the end of an attempt."""
+        """Record the end of an attempt."""
         server, outcome, served = attempt.server, event.outcome, event.outcome is Outcome.SUCCESS
         failed, silent = outcome is Outcome.ERROR, attempt.was_silent
-        if served or failed or silent:  # an answer that is late tells of load
+        # A timeout at a server that answers other attempts is a sign of load, not of failure.
+        if served or failed or silent:
             self.shared_health.record_attempt(server.incarnation, server.info.zone, failed, silent)
         if outcome is Outcome.UNREACHABLE:
             server.ejected_until = now + server.ejection.next()
             return
         if served:
             server.served_at = now
-        if outcome in ANSWERS:
+        if outcome in ANSWERED_OUTCOMES:
             server.last_response_at = now
             server.ejection.reset()
             server.ejected_until = now + OVERLOAD_EJECTION * (outcome is Outcome.OVERLOADED)
         self.statistics.record_end(now, server, served=served)
-        if served or outcome in ERRORS:
+        if served or outcome in ERROR_OUTCOMES:
             self.statistics.record_error(server, failed=not served)
         if served or outcome is Outcome.TIMED_OUT:
             self.statistics.record_time(request, server, event.elapsed)
--- a/frostfall/policy/placement.py
+++ b/frostfall/policy/placement.py
@@ -1,4 +1,4 @@
-"""Whether a request is sent, waits or gets its final answer (types: frostfall/interface.py)."""
+"""Decides whether a request is sent, waits or gets its final answer (types: frostfall/interface.py)."""
 
 import random
 
@@ -9,13 +9,13 @@
 from frostfall.policy.routing import Routing
 from frostfall.records import PendingRequest, Placement, ServerState
 
-WAITING_PERIOD = 50_000  # us between attempts to place the requests that wait
-HEALTH_CHECKS_PER_REQUEST = 0.5  # earned by each request taken
-HEALTH_CHECK_BUDGET = 2.0  # health checks that may be saved up
+PLACEMENT_RETRY_PERIOD = 50_000  # us between attempts to place the waiting requests
+HEALTH_CHECKS_PER_REQUEST = 0.5  # health checks that each request adds to the budget
+HEALTH_CHECK_BUDGET = 2.0  # largest number of health checks in the budget
 
 
 class PlacementPolicy:
-    """Puts together what admission, routing and the guards say of a request."""
+    """Combines admission, routing and the guards into one decision on a request."""
 
     def __init__(self, settings: api.Settings, source: random.Random, routing: Routing) -> None:
         self.limits, self.random, self.routing = settings.limits, source, routing
@@ -24,12 +24,12 @@
         self.health_checks = TokenBucket(capacity=HEALTH_CHECK_BUDGET, tokens=0.0)
 
     def admits(self, request: PendingRequest) -> bool:
-        """Whether a new request is served at all if it can be."""
+        """Return whether a new request is admitted rather than shed."""
         self.health_checks.earn(HEALTH_CHECKS_PER_REQUEST)
         return self.random.random() >= self.admission.shed_chance(request)
 
     def place(self, now: Microseconds, request: PendingRequest) -> Placement:
-        """Where a request goes now, or whether it waits; else it is given up."""
+        """Return the server that a request goes to now, or whether it waits; otherwise it is given up."""
         has_capacity = self.admission.has_capacity(now, request)
         usable = self.routing.usable(now, request)
         sample = self.routing.sample(now, usable) if has_capacity or self.checks_health else []
@@ -48,7 +48,7 @@
         return server
 
     def final_answer(self, request: PendingRequest) -> api.RejectRequest | api.FailRequest:
-        """What a client is told whose request is given up."""
+        """Return the final answer to a request that is given up."""
         if not self.routing.guards.may_reject(request):
             return api.FailRequest(request.name)
         longest = min(self.limits.max_retry_after, request.request_class.latency_objective // 2)
--- a/frostfall/policy/repeat_safety.py
+++ b/frostfall/policy/repeat_safety.py
@@ -1,4 +1,4 @@
-"""Whether a further attempt can do no harm, by the earlier ones (types: frostfall/interface.py)."""
+"""The final check that a retry cannot run a request twice (types: frostfall/interface.py)."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,16 +11,19 @@
     """An attempt whose last byte was handed to the kernel."""
 
     sent_at: Microseconds
-    outcome: Outcome | None  # None while it is out
+    outcome: Outcome | None  # None while it is in flight
 
     @property
     def may_have_run(self) -> bool:
-        """Whether nothing proves that it never ran."""
+        """Whether the server may have run the attempt: no outcome proves otherwise."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 def may_repeat(now: Microseconds, request_class: RequestClass, written: Iterable[WrittenAttempt]) -> bool:
-    """Whether a request may be written again: the last look, which knows nothing of how it was routed."""
+    """Return whether a request may be written again after the attempts already written.
+
+    The check is independent of routing and of the other guards.
+    """
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     possible = [attempt for attempt in written if attempt.may_have_run]
--- a/frostfall/policy/server_age.py
+++ b/frostfall/policy/server_age.py
@@ -1,51 +1,54 @@
-"""When a server started by this agent's own clock, whatever clocks say (types: frostfall/interface.py).
+"""Estimates when servers started, despite wrong wall clocks (types: frostfall/interface.py).
 
-Discovery gives starts in Unix time. The wall clock of the agent or of a server's machine may be wrong by
-seconds or hours. The date of discovery's answers shows the agent's own error; and what the agent has seen
-itself, by its monotonic clock, bounds what can be true.
+Discovery reports starts in Unix time, and estimates are times of this agent's clock. The wall clock of the
+agent or of a server's machine may be wrong by seconds or hours. The date of discovery's answers shows the
+error of the agent's clock. The times of list updates, by the agent's monotonic clock, bound the possible
+starts of new servers.
 """
 
 from frostfall.interface import Microseconds, ServerListKind
 
-LISTING_DELAY = 10_000_000  # us that a start may take at most until discovery lists it
-SMALL_CLOCK_ERROR = 60_000_000  # us; a start further ahead of the clock than this says nothing of the server
-MIN_CLOCK_ERROR = 3_000_000  # us by which the agent's clock is off at least: dates have whole seconds
-LONG_AGO: Microseconds = 0  # as discovery writes it
+MAX_DISCOVERY_DELAY = 10_000_000  # us after a server's start until discovery lists the server
+SMALL_CLOCK_ERROR = 60_000_000  # us; a start that lies further in the future is ignored
+MIN_CLOCK_ERROR = 3_000_000  # us; smaller errors are ignored, as discovery's dates have whole seconds
+LONG_AGO: Microseconds = 0  # discovery's value for a start long ago or unknown
 
 
 class StartTimeEstimator:
-    """Turns listed starts into times of this agent's clock."""
+    """Converts start times reported by discovery into times of this agent's clock."""
 
     def __init__(self) -> None:
-        self._updated_at: Microseconds | None = None  # by discovery itself
-        self._unlisted_since: Microseconds | None = None  # what is new in an update was not listed by then
-        self._clock_error: Microseconds | None = None  # of this agent's clock; None: not known
+        self._updated_at: Microseconds | None = None  # the last update from discovery itself
+        # The update before the last one; servers that are new in the last one were not listed then.
+        self._previous_update_at: Microseconds | None = None
+        self._clock_error: Microseconds | None = None  # of this agent's wall clock; None if unknown
 
     def discovery_time_read(self, now: Microseconds, time: Microseconds) -> bool:
-        """Discovery has told the time; whether what was estimated before has to be estimated anew."""
-        if self._clock_error is not None:  # ages go by the clock as it was at first, which is never set again
+        """Record discovery's time; return whether earlier estimates have to be recomputed."""
+        if self._clock_error is not None:  # the agent sets its clock only once, so the error is constant
             return False
         error = now - time
         self._clock_error = error if abs(error) >= MIN_CLOCK_ERROR else 0
         return self._clock_error != 0 and self._updated_at is None
 
     def begin_update(self, now: Microseconds, kind: ServerListKind) -> None:
-        """A list, or a change of one, is about to be taken over."""
-        self._unlisted_since = None
-        if kind is not ServerListKind.CACHED:  # which may be old, and so proves nothing
-            self._unlisted_since, self._updated_at = self._updated_at, now
-
-    def estimate(self, now: Microseconds, listed_start: Microseconds) -> Microseconds:
-        """When a server started that is listed for the first time now; LONG_AGO where nothing is known."""
-        if listed_start == LONG_AGO:
+        """Record that a list, or a change of the list, is about to be applied."""
+        self._previous_update_at = None
+        if kind is not ServerListKind.CACHED:  # a cached list may be old and does not bound any start
+            self._previous_update_at, self._updated_at = self._updated_at, now
+
+    def estimate(self, now: Microseconds, reported_start: Microseconds) -> Microseconds:
+        """Return the start time of a server that is listed for the first time now; LONG_AGO if unknown."""
+        if reported_start == LONG_AGO:
             return LONG_AGO
-        listed_start += self._clock_error or 0
-        age = now - listed_start
-        if self._unlisted_since is None:
-            if age < -SMALL_CLOCK_ERROR:  # this clock is behind, by nobody knows how much more
+        reported_start += self._clock_error or 0
+        age = now - reported_start
+        if self._previous_update_at is None:
+            if age < -SMALL_CLOCK_ERROR:  # this agent's clock is behind by an unknown amount
                 return LONG_AGO
-            return min(listed_start, now)
-        time_unlisted = now - self._unlisted_since
-        if age > time_unlisted + LISTING_DELAY:  # so old, it would have been listed before: a clock is wrong
+            return min(reported_start, now)
+        since_previous_update = now - self._previous_update_at
+        if age > since_previous_update + MAX_DISCOVERY_DELAY:
+            # A server of this age would have been listed before, so a clock is wrong.
             return now
-        return min(listed_start, now)
+        return min(reported_start, now)
