--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -61,7 +61,7 @@
         self.admission = self.placement.admission
         self.lifecycle = RequestLifecycle(settings, self.placement, self.outcome_recorder, self.rollout_test)
         self._handlers: dict[type, Callable[[Microseconds, Any], Iterable[api.Action] | None]] = {
-            api.RequestArrived: self.lifecycle.arrive,
+            api.RequestArrived: self.lifecycle.request_arrived,
             api.AttemptEnded: self.lifecycle.attempt_ended,
             api.TimerFired: self._timer_fired,
             api.GossipReceived: self._gossip_received,
--- a/frostfall/engine/request_lifecycle.py
+++ b/frostfall/engine/request_lifecycle.py
@@ -43,16 +43,16 @@
         self._timer_set = False  # whether the timer for waiting requests is set
         self.by_name: dict[str, PendingRequest] = {}
 
-    def arrive(self, now: Microseconds, event: api.RequestArrived) -> Iterator[api.Action]:
+    def request_arrived(self, now: Microseconds, event: api.RequestArrived) -> Iterator[api.Action]:
         """Accept a request: send it, let it wait, or give its final answer."""
-        left = event.deadline - now
-        request_class = self.classes.get(event.class_name) or unknown_class(event.class_name, left)
+        remaining = event.deadline - now
+        request_class = self.classes.get(event.class_name) or unknown_class(event.class_name, remaining)
         group = self._exposure.group(request_class)
         request = self.by_name[event.request] = PendingRequest(event, request_class, now, group)
         self._retries.record_request()
         self._exposure.log.record_taken(now, group)
         self._statistics.times.record_hint(request_class.name, event.service_time_hint)
-        yield api.SetTimer(max(left - ANSWER_MARGIN, 0), event.request)
+        yield api.SetTimer(max(remaining - ANSWER_MARGIN, 0), event.request)
         if self._placement.admits(request):
             yield from self._place(now, request)
         else:
@@ -102,10 +102,10 @@
             for request in list(self._placement.admission.waiting.values()):
                 yield from self._place(now, request)
             return
-        late = self.by_name.get(event.token)
+        due = self.by_name.get(event.token)
         # If the deadline is not near, the timer was set for an earlier request of the same name.
-        if late and now >= late.arrival.deadline - ANSWER_MARGIN:
-            yield from self._end_unserved(late)
+        if due and now >= due.arrival.deadline - ANSWER_MARGIN:
+            yield from self._end_unserved(due)
 
     def stream_started(self, event: api.StreamStarted) -> None:
         """Record that an answer is being streamed: its request is no longer cancelled or answered here."""
--- a/frostfall/policy/guards.py
+++ b/frostfall/policy/guards.py
@@ -146,11 +146,11 @@
         # be requested than can be served. The peak is used because a fleet that is entirely cold serves less,
         # and a budget by its current rate would shrink further.
         self.statistics.served(now)
-        own, window = self.statistics.throughput.peak_per_server, self.rules.overload_window
+        own_rate, window = self.statistics.throughput.peak_per_server, self.rules.overload_window
         multiple = self.rules.overload_multiple * server.warm_up_share(now, self.rules)
         test = self.rollout_test.test
-        everyone = max(own, test.pooled_served_per_server if test else 0.0)
-        budget = max(multiple * everyone * window / 1e6, 1e-9)
-        rate = multiple * own * safe_utilization(budget, SAFE_DEVIATIONS)
-        least = MIN_WARM_UP_RATE / self.rollout_test.schedule.agents
-        return server.accrue_credit(now, max(rate, least), window)
+        fleet_rate = max(own_rate, test.pooled_served_per_server if test else 0.0)
+        budget = max(multiple * fleet_rate * window / 1e6, 1e-9)
+        rate = multiple * own_rate * safe_utilization(budget, SAFE_DEVIATIONS)
+        min_rate = MIN_WARM_UP_RATE / self.rollout_test.schedule.agents
+        return server.accrue_credit(now, max(rate, min_rate), window)
--- a/frostfall/policy/retries.py
+++ b/frostfall/policy/retries.py
@@ -30,17 +30,17 @@
 
     def timeout(self, now: Microseconds, request: PendingRequest) -> Microseconds:
         """Return how long an attempt that begins now may take."""
-        request_class, left = request.request_class, request.arrival.deadline - now
+        request_class, remaining = request.request_class, request.arrival.deadline - now
         if not request_class.retryable or self.budget.tokens < 1:
-            return left
+            return remaining
         mean = self.times.means.get(request_class.name, request_class.deadline)
         limit = int(max(TIMEOUT_MEAN_MULTIPLE * mean, TIMEOUT_OBJECTIVES * request_class.latency_objective))
         if not request_class.idempotent:
             # A keyed request must not be retried after its deduplication window. Its attempts therefore time
             # out while a retry is allowed, or only at the deadline if usual responses take that long.
             window = int(WINDOW_SHARE * request_class.deduplication_window)
-            limit = min(limit, window) if window >= MIN_WINDOW_MEAN_MULTIPLE * mean else left
-        return min(left, limit)
+            limit = min(limit, window) if window >= MIN_WINDOW_MEAN_MULTIPLE * mean else remaining
+        return min(remaining, limit)
 
     def claim_retry(self, now: Microseconds, request: PendingRequest, outcome: Outcome) -> bool:
         """Return whether a retry follows an attempt with this outcome; if so, take it from the budget."""
--- a/frostfall/policy/routing.py
+++ b/frostfall/policy/routing.py
@@ -65,10 +65,10 @@
         # If hundreds of agents connect to every server, they fill the servers' connection tables, and each
         # agent sends a server too few requests to learn from. An agent therefore uses the first servers of
         # its own random order, as many as its traffic keeps connected.
-        sends = self.statistics.served(now) * self.settings.limits.connection_idle_timeout / 1e6
-        most = max(MIN_SERVERS, int(sends / SENDS_PER_CONNECTION))
-        near = list(islice((server for server in usable if server.ejected_until <= now), most))
-        return near if len(near) <= SAMPLE_SIZE else self.random.sample(near, SAMPLE_SIZE)
+        attempts = self.statistics.served(now) * self.settings.limits.connection_idle_timeout / 1e6
+        max_servers = max(MIN_SERVERS, int(attempts / SENDS_PER_CONNECTION))
+        candidates = list(islice((server for server in usable if server.ejected_until <= now), max_servers))
+        return candidates if len(candidates) <= SAMPLE_SIZE else self.random.sample(candidates, SAMPLE_SIZE)
 
     def choose(
         self, now: Microseconds, request: PendingRequest, usable: list[ServerState], sample: list[ServerState]
@@ -82,8 +82,8 @@
             options = self._allowed(now, request, others)[:SAMPLE_SIZE]
         if not options:
             return None
-        wanted = [server for server in options if self._accepts_build(request, server)] or options
-        preferred = [server for server in wanted if server in urgent] or wanted
+        accepting = [server for server in options if self._accepts_build(request, server)] or options
+        preferred = [server for server in accepting if server in urgent] or accepting
         # Old reports would send all agents to the server that looks idle, and a lack of reports to the
         # preferred servers. The exponent and the preference therefore depend on the age of the reports.
         loads = {server: self.load(now, server) for server in dict.fromkeys([*sample, *preferred])}
@@ -139,9 +139,9 @@
             cost *= 2.0 ** -(self.trial_preference * informed * (1 + min(test.position, 1.0)))
         if not (test and self.rollout_test.lacks_outcomes):
             cost /= server.warm_up_share(now, settings.rules)
-        usual = self.statistics.times.overall_mean
-        if server.in_flight and usual:  # a lost, stuck or slow server looks idle in load reports
-            overdue = server.oldest_attempt_age(now) / usual / OVERDUE_MEAN_MULTIPLE
+        mean_time = self.statistics.times.overall_mean
+        if server.in_flight and mean_time:  # a lost, stuck or slow server looks idle in load reports
+            overdue = server.oldest_attempt_age(now) / mean_time / OVERDUE_MEAN_MULTIPLE
             cost *= min(max(overdue, 1.0), MAX_OVERDUE_COST)
         cost *= 1 + CROSS_ZONE_COST * settings.prices.cross_zone * (server.info.zone != settings.zone)
         key = request.arrival.key
