--- a/frostfall/policy/drain.py
+++ b/frostfall/policy/drain.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-LINGER_SECONDS = 0.7  # after the order to stop, during which the protocol still allows new connections
+LINGER_SECONDS = 0.7  # time after the order to stop in which the protocol still allows new connections
 MAX_DEADLINE_SECONDS = 3.0  # by the protocol, a longer deadline does not delay the earliest SIGKILL
-ANSWER_MARGIN_SECONDS = 0.3  # before the earliest SIGKILL, at which open requests get their final answers
-EXIT_MARGIN_SECONDS = 0.05  # before the earliest SIGKILL, at which the agent exits
+ANSWER_MARGIN_SECONDS = 0.3  # time before the earliest SIGKILL at which open requests get final answers
+EXIT_MARGIN_SECONDS = 0.05  # time before the earliest SIGKILL at which the agent exits
 MAX_PAUSE_MICROSECONDS = 150_000  # longest delay of a running process that the drain grace has to cover
-IMMEDIATE_DRAIN_SECONDS = 0.25  # for an agent whose task was cancelled to deliver its last answers
+IMMEDIATE_DRAIN_SECONDS = 0.25  # time for an agent whose task was cancelled to deliver its last answers
 
 
 @dataclass(frozen=True, slots=True)
--- a/frostfall/policy/endpoint_lease.py
+++ b/frostfall/policy/endpoint_lease.py
@@ -157,7 +157,7 @@
         if self._catching_up_until is not None:
             if now < self._catching_up_until:
                 return LeaseState.CATCHING_UP
-            # Discovery is out of reach: the lease continues from the last confirmation.
+            # Discovery cannot be reached: the lease continues from the last confirmation.
             self._catching_up_until = None
             self._update(now)
         if now < self._valid_until:
--- a/frostfall/policy/guards.py
+++ b/frostfall/policy/guards.py
@@ -17,7 +17,7 @@
 
 
 class ExposureGuard:
-    """Keeps the exposure of a build under rollout, its share of the requests, within its cap."""
+    """Limits the exposure of a build under rollout (its share of the requests) to the cap of its stage."""
 
     def __init__(self, settings: api.Settings, servers: ServerList) -> None:
         self.rollout, self.servers, self.drain_grace = settings.rollout, servers, settings.rules.drain_grace
--- a/frostfall/policy/retries.py
+++ b/frostfall/policy/retries.py
@@ -13,8 +13,10 @@
 # objective, whichever is longer.
 TIMEOUT_MEAN_MULTIPLE = 6
 TIMEOUT_OBJECTIVES = 0.7
-WINDOW_SHARE = 0.8  # part of the deduplication window after which a keyed attempt times out ...
-MIN_WINDOW_MEAN_MULTIPLE = 3.0  # ... if at least this many mean response times fit into that part
+# A keyed attempt times out after this part of its deduplication window if at least this many mean response
+# times fit into that part.
+WINDOW_SHARE = 0.8
+MIN_WINDOW_MEAN_MULTIPLE = 3.0
 
 
 class RetryPolicy:
--- a/frostfall/policy/rollout_test.py
+++ b/frostfall/policy/rollout_test.py
@@ -107,7 +107,7 @@
         server, test, late = attempt.server, self.test, None
         build, failed = server.info.build, event.outcome is Outcome.ERROR
         settled = attempt.sent_at - server.started_at >= SETTLING_TIME  # a cold server is slow
-        # A server that is silent since the attempt is lost or cut off, which is no evidence on its build.
+        # A server without responses since the attempt is lost or cut off, which is no evidence on its build.
         slow = event.outcome is Outcome.TIMED_OUT and server.last_response_at > attempt.sent_at and settled
         counts = slow or failed or event.outcome is Outcome.SUCCESS
         if build == self.outcomes.rolled_back_build or not counts:
@@ -150,7 +150,7 @@
         ):
             return
         settled = attempt.sent_at - server.started_at >= SETTLING_TIME
-        # A server that is silent since the attempt is lost or cut off, which is no evidence on its build.
+        # A server without responses since the attempt is lost or cut off, which is no evidence on its build.
         answers = server.last_response_at > attempt.sent_at
         if settled and answers and now - attempt.sent_at > self._late_threshold(request, attempt):
             attempt.counted_as_late = True
