--- a/frostfall/mechanisms/fleet_statistics.py
+++ b/frostfall/mechanisms/fleet_statistics.py
@@ -72,7 +72,7 @@
 
     def record_end(self, now: Microseconds, server: ServerState, *, served: bool) -> None:
         """Record the end of an attempt."""
-        server.fade(now, self._parameters.server_decay_time)
+        server.decay(now, self._parameters.server_decay_time)
         self.throughput.record(now, len(self._servers.available), served=served)
 
     def record_error(self, server: ServerState, *, failed: bool) -> None:
--- a/frostfall/mechanisms/server_list.py
+++ b/frostfall/mechanisms/server_list.py
@@ -23,7 +23,7 @@
     def begin_update(self, now: Microseconds, kind: ServerListKind) -> None:
         """Prepare for the estimates of an endpoint list, or of changes to one."""
 
-    def estimate(self, now: Microseconds, listed_start: Microseconds) -> Microseconds:
+    def estimate(self, now: Microseconds, reported_start: Microseconds) -> Microseconds:
         """Return the estimated start time of a server that is newly listed; 0 means long ago."""
 
 
