--- a/frostfall/engine/policy_engine.py
+++ b/frostfall/engine/policy_engine.py
@@ -230,7 +230,7 @@
         if self.settings.needs_watch and self.watch.is_due(now):
             self.watch.renew(now)
             yield api.WatchServerList()
-        yield from self.list_gossip.end_turn(now)
+        yield from self.list_gossip.end_slot(now)
         last, rollout, test = self.schedule.advance(now), self.settings.rollout, self.rollout_test.test
         if rollout is None:
             return
--- a/frostfall/gossip/__init__.py
+++ b/frostfall/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip of the endpoint list: messages, who is asked, and what is believed. No I/O and no clock."""
+"""Gossip about the endpoint list: messages, choice of peers, limits on peers' claims. No I/O, no clock."""
--- a/frostfall/gossip/list_messages.py
+++ b/frostfall/gossip/list_messages.py
@@ -1,8 +1,9 @@
-"""Messages by which agents tell each other what changed in the endpoint list, and their text form.
+"""Messages between agents about changes of the endpoint list, and their encoding as text.
 
-A message is a prefix that no other message of agents begins with, and base 85 of a fixed header with entries
-behind it. A query says which generation its sender holds; an update lists what changed since a generation.
-Servers are named by a hash, and a server's start and build by a fingerprint, so that an entry is short.
+A message consists of a prefix with which no other message between agents begins, and the base 85 encoding of
+a fixed header followed by changes. A query states the generation of its sender's list; an update contains the
+changes since a generation. To keep a change short, a hash identifies the server, and a fingerprint stands for
+its start time and build.
 """
 
 from __future__ import annotations
@@ -16,30 +17,30 @@
 
 from frostfall.interface import Availability, Microseconds, Server
 
-PREFIX = ":"  # no digit of base 85, with which other messages begin
+PREFIX = ":"  # not a digit of base 85, with which the other messages begin
 QUERY_PREFIX = ":q"
 UPDATE_PREFIX = ":u"
-MAX_CHARS = 256  # of a message
-MAX_FRAGMENTS = 255  # of an update
+MAX_CHARS = 256  # in a message
+MAX_FRAGMENTS = 255  # in an update
 MAX_GENERATION = 0xFFFFFFFF
 
 _QUERY = struct.Struct("<HIB")  # nonce; generation; first fragment
 _HEADER = struct.Struct("<HIIHBBB")  # nonce; since; generation; age; fragment; fragments; flags
-_ENTRY = struct.Struct("<IH")  # key and state; fingerprint
+_CHANGE = struct.Struct("<IH")  # key and state; fingerprint
 _STATE_BITS = 2
 _STATE_MASK = (1 << _STATE_BITS) - 1
 _KEY_MASK = (1 << 30) - 1
 _FINGERPRINT_MASK = 0xFFFF
 _AGE_UNIT: Microseconds = 10_000
-_NO_AGE = 0xFFFF  # nobody has vouched for this generation
-_CONFIRMED = 1
+_NO_AGE = 0xFFFF  # discovery has not confirmed this generation
+_CONFIRMED = 1  # bit of the flags
 
 _BODY_BYTES = (MAX_CHARS - len(UPDATE_PREFIX)) // 5 * 4  # base 85 takes 5 characters for 4 bytes
-ENTRIES_PER_FRAGMENT = (_BODY_BYTES - _HEADER.size) // _ENTRY.size
+CHANGES_PER_FRAGMENT = (_BODY_BYTES - _HEADER.size) // _CHANGE.size
 
 
-class ListedState(IntEnum):
-    """What the list says of a server now."""
+class EndpointState(IntEnum):
+    """The availability of a server in the endpoint list."""
 
     UP = 0
     DRAINING = 1
@@ -47,84 +48,85 @@
 
 
 _STATES = {
-    Availability.UP: ListedState.UP,
-    Availability.DRAINING: ListedState.DRAINING,
-    Availability.REMOVED: ListedState.REMOVED,
+    Availability.UP: EndpointState.UP,
+    Availability.DRAINING: EndpointState.DRAINING,
+    Availability.REMOVED: EndpointState.REMOVED,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class ChangedEntry:
-    """A server whose entry has changed, as it is now."""
+class EndpointChange:
+    """The current state of a server whose endpoint has changed."""
 
     key: int
-    state: ListedState
+    state: EndpointState
     fingerprint: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListQuery:
-    """Asks what has changed since a generation."""
+    """A query for the changes since a generation."""
 
-    nonce: int  # which the update repeats
+    nonce: int  # repeated in the update
     generation: int
-    first_fragment: int = 0  # of the update that is wanted
+    first_fragment: int = 0  # earlier fragments of the update are not sent
 
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """One fragment of all that changed after `since` up to `generation`."""
+    """One fragment of the changes after generation `since`, up to `generation`."""
 
-    nonce: int  # of the query; 0 where nobody asked
+    nonce: int  # of the query that it answers; 0 if there was no query
     since: int
     generation: int
-    age: Microseconds | None  # since discovery vouched for this generation; None: it never did
+    age: Microseconds | None  # since discovery confirmed this generation; None if it never did
     fragment: int
-    fragments: int
-    is_confirmed: bool  # the sender has it from discovery itself, or from a quorum of agents that say this
-    entries: tuple[ChangedEntry, ...]
+    fragment_count: int
+    is_confirmed: bool  # received from discovery itself, or from a quorum of agents that set this flag
+    changes: tuple[EndpointChange, ...]
 
 
 def server_key(server: int) -> int:
-    """The hash by which agents name a server."""
+    """Return the hash by which agents identify a server."""
     return crc32(struct.pack("<q", server)) & _KEY_MASK
 
 
 def fingerprint(server: Server) -> int:
-    """What differs after another start of a server or with another build."""
+    """Return a hash of a server's build and start time, which a restart or another build changes."""
     return crc32(struct.pack("<qq", server.build, server.started_at)) & _FINGERPRINT_MASK
 
 
-def changed_entry(server: Server) -> ChangedEntry:
-    """A server's entry as it goes into a message."""
-    return ChangedEntry(server_key(server.id), _STATES[server.availability], fingerprint(server))
+def endpoint_change(server: Server) -> EndpointChange:
+    """Return a server's current state for a message."""
+    return EndpointChange(server_key(server.id), _STATES[server.availability], fingerprint(server))
 
 
-def removed_entry(server: int) -> ChangedEntry:
-    """The entry of a server that a complete list no longer has."""
-    return ChangedEntry(server_key(server), ListedState.REMOVED, 0)
+def endpoint_removal(server: int) -> EndpointChange:
+    """Return the change for a server that a complete list no longer contains."""
+    return EndpointChange(server_key(server), EndpointState.REMOVED, 0)
 
 
 def encode_query(query: ListQuery) -> str:
-    """The query as text."""
+    """Return the query as text."""
     return QUERY_PREFIX + b85encode(_QUERY.pack(query.nonce, query.generation, query.first_fragment)).decode()
 
 
 def encode_update(update: ListUpdate) -> str:
-    """The update as text; it holds `ENTRIES_PER_FRAGMENT` entries at most."""
+    """Return the update, which has at most `CHANGES_PER_FRAGMENT` changes, as text."""
     age = _NO_AGE if update.age is None else min(max(update.age, 0) // _AGE_UNIT, _NO_AGE - 1)
     flags = _CONFIRMED if update.is_confirmed else 0
     header = _HEADER.pack(
-        update.nonce, update.since, update.generation, age, update.fragment, update.fragments, flags
+        update.nonce, update.since, update.generation, age, update.fragment, update.fragment_count, flags
     )
-    entries = (
-        _ENTRY.pack(entry.key << _STATE_BITS | entry.state, entry.fingerprint) for entry in update.entries
+    changes = (
+        _CHANGE.pack(change.key << _STATE_BITS | change.state, change.fingerprint)
+        for change in update.changes
     )
-    return UPDATE_PREFIX + b85encode(header + b"".join(entries)).decode()
+    return UPDATE_PREFIX + b85encode(header + b"".join(changes)).decode()
 
 
 def decode(text: str) -> ListQuery | ListUpdate | None:
-    """The message; None where the text is malformed or of a version that is not known here."""
+    """Return the message, or None if the text is malformed or of an unknown version."""
     kind = text[: len(QUERY_PREFIX)]
     try:
         data = b85decode(text[len(QUERY_PREFIX) :])
@@ -138,12 +140,12 @@
 
 
 def _decode_update(data: bytes) -> ListUpdate | None:
-    nonce, since, generation, age, fragment, fragments, flags = _HEADER.unpack_from(data)
-    if since > generation or fragment >= fragments:
+    nonce, since, generation, age, fragment, fragment_count, flags = _HEADER.unpack_from(data)
+    if since > generation or fragment >= fragment_count:
         return None
-    entries: Sequence[ChangedEntry] = [
-        ChangedEntry(packed >> _STATE_BITS, ListedState(packed & _STATE_MASK), mark)
-        for packed, mark in _ENTRY.iter_unpack(data[_HEADER.size :])
+    changes: Sequence[EndpointChange] = [
+        EndpointChange(packed >> _STATE_BITS, EndpointState(packed & _STATE_MASK), server_fingerprint)
+        for packed, server_fingerprint in _CHANGE.iter_unpack(data[_HEADER.size :])
     ]
     return ListUpdate(
         nonce=nonce,
@@ -151,7 +153,7 @@
         generation=generation,
         age=None if age == _NO_AGE else age * _AGE_UNIT,
         fragment=fragment,
-        fragments=fragments,
+        fragment_count=fragment_count,
         is_confirmed=bool(flags & _CONFIRMED),
-        entries=tuple(entries),
+        changes=tuple(changes),
     )
