--- a/frostfall/consensus/__init__.py
+++ b/frostfall/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus on the little state that needs it: a replicated register on Raft, without I/O."""
+"""Consensus: a small replicated register on Raft. No I/O."""
--- a/frostfall/consensus/messages.py
+++ b/frostfall/consensus/messages.py
@@ -1,6 +1,6 @@
 """Raft's messages between members, named as in the paper (Ongaro and Ousterhout, 2014, figures 2 and 13).
 
-Tags and the order of fields are the wire format: neither may change.
+Tags and the order of fields define the wire format and must not change.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class RequestVote(msgspec.Struct, tag="vote?", array_like=True):
-    """A candidate asks for a vote; with `pre_vote`, whether the vote would be granted."""
+    """A candidate's request for a vote; with `pre_vote`, a query whether the vote would be granted."""
 
     term: int
     last_log_index: int
@@ -20,7 +20,7 @@
 
 
 class RequestVoteResponse(msgspec.Struct, tag="vote", array_like=True):
-    """The response; `term` is that of a granted pre-vote's request, else the voter's own."""
+    """The response to RequestVote; `term` is the request's for a granted pre-vote, else the voter's."""
 
     term: int
     vote_granted: bool
@@ -28,7 +28,7 @@
 
 
 class AppendEntries(msgspec.Struct, tag="append", array_like=True):
-    """A leader's entries after `prev_log_index`; without entries, a heartbeat."""
+    """A leader's log entries after `prev_log_index`; without entries, a heartbeat."""
 
     term: int
     prev_log_index: int
@@ -38,15 +38,15 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, tag="appended", array_like=True):
-    """The response, also to a snapshot."""
+    """The response to AppendEntries and InstallSnapshot."""
 
     term: int
     success: bool
-    last_log_index: int  # on success, up to where the log matches the leader's; else where to try next
+    last_log_index: int  # on success, the last one that matches the leader's log; else to retry after
 
 
 class InstallSnapshot(msgspec.Struct, tag="install", array_like=True):
-    """A leader's snapshot for a follower that needs entries which the leader's log no longer has."""
+    """A leader's snapshot, for a follower that lacks entries which the leader's log no longer has."""
 
     term: int
     snapshot: Snapshot
--- a/frostfall/consensus/raft.py
+++ b/frostfall/consensus/raft.py
@@ -1,12 +1,12 @@
 """Raft (Ongaro and Ousterhout, 2014; pre-vote, one-server changes and check quorum after Ongaro's thesis).
 
-No I/O and no clock: the owner calls `tick` at a fixed interval, hands in messages with `step`, and carries
-out what `ready` gives, in this order: `hard_state`, `snapshot` and `entries` to the disk, then `messages`,
-then `restored_snapshot` and `committed_entries` to the register, then `advance`. No message may be sent
-before the disk has what it rests on; `ready` may be called again only once all that is done.
+No I/O and no clock: the owner calls `tick` at a fixed interval, passes messages to `step`, and processes the
+result of `ready` in this order: write `hard_state`, `snapshot` and `entries` to disk, send `messages`, apply
+`restored_snapshot` and `committed_entries` to the register, call `advance`. A message must not be sent before
+the state that it depends on is on disk. `ready` may be called again only after all of these steps.
 
-A leader that has not heard from a majority for an election timeout steps down. Safety does not depend on
-that, it rests on terms and logs alone: it lets a deposed leader find out by itself.
+A leader that has received no response from a majority for an election timeout steps down, so that a deposed
+leader notices its state by itself. Safety does not depend on this, only on terms and logs.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 )
 from frostfall.consensus.raft_log import Entry, IndexedEntry, RaftLog, Snapshot
 
-ELECTION_TIMEOUT_TICKS = 10  # ticks without a leader before an election, drawn from one to two times this
+ELECTION_TIMEOUT_TICKS = 10  # minimum ticks without a leader before an election; the maximum is twice this
 HEARTBEAT_INTERVAL_TICKS = 2  # ticks between two heartbeats of a leader
-EARLY_ELECTION_TICKS = 7  # within which a member that was silent stands for election
-SNAPSHOT_THRESHOLD = 256  # applied entries before a snapshot replaces them
+EARLY_ELECTION_TICKS = 7  # maximum ticks before a member that has stepped down starts an election
+SNAPSHOT_THRESHOLD = 256  # applied entries after which a snapshot replaces them
 
 
 class Role(Enum):
@@ -43,10 +43,10 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What has to be on disk before anybody is told of it."""
+    """State that has to be on disk before a message that depends on it is sent."""
 
     term: int = 0
-    voted_for: str = ""  # in this term; empty: nobody
+    voted_for: str = ""  # in this term; empty if no vote was cast
 
 
 class Envelope(NamedTuple):
@@ -58,18 +58,18 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the owner has to carry out, in the order that the module gives."""
+    """Work for the owner, to be done in the order that the module's docstring states."""
 
     hard_state: HardState | None = None
-    snapshot: Snapshot | None = None  # replaces all entries up to its index on disk
-    entries: list[IndexedEntry] = field(default_factory=list)  # replace all from the first one's index on
+    snapshot: Snapshot | None = None  # replaces all entries on disk up to the snapshot's index
+    entries: list[IndexedEntry] = field(default_factory=list)  # replace those on disk from the first index on
     messages: list[Envelope] = field(default_factory=list)
     restored_snapshot: Snapshot | None = None  # replaces the register's state
     committed_entries: list[IndexedEntry] = field(default_factory=list)  # to be applied to the register
 
 
 class Raft:
-    """One member's state machine."""
+    """One member's Raft state machine."""
 
     def __init__(
         self,
@@ -79,48 +79,54 @@
         entries: list[Entry] | None = None,
         seed: int = 0,
     ) -> None:
-        """Begin with what was on disk; at a first start, a snapshot with the voters alone."""
+        """Start with the state from disk; at the first start, with a snapshot that has only the voters."""
         self.name = name
         self.log = RaftLog(snapshot, entries or ())
         self.hard_state = hard_state or HardState()
         self.role = Role.FOLLOWER
-        self.leader = ""  # empty: not known
+        self.leader = ""  # empty if unknown
         self.commit_index = self.last_applied = snapshot.index
         self._random = random.Random(f"{name} {seed}")
-        self._contact_ticks = 0  # since a follower heard a leader, or a leader checked its quorum
+        self._contact_ticks = 0  # follower: since the leader's last message; leader: since the quorum check
         self._election_timeout = ELECTION_TIMEOUT_TICKS
         self._heartbeat_ticks = 0  # since a leader's last heartbeat
         self._is_pre_voting = False
         self._votes: dict[str, bool] = {}
         self._next_index: dict[str, int] = {}  # by member: the next entry to be sent
-        self._match_index: dict[str, int] = {}  # by member: up to where its log matches on disk
-        self._responsive: set[str] = set()  # members heard since the last quorum check
+        self._match_index: dict[str, int] = {}  # by member: the last entry on its disk that matches this log
+        self._responsive: set[str] = set()  # members that have responded since the last quorum check
         self._pending = Ready()
         self._saved_hard_state = self.hard_state
-        self._stable_index = self.log.last_index  # entries up to here are on disk, or were given by `ready`
+        self._stable_index = self.log.last_index  # last entry that is on disk or was returned by `ready`
         self._reset_election_timer()
 
-    # ---- for the owner -------------------------------------------------------------------------------
-
     @property
     def voters(self) -> tuple[str, ...]:
-        """Who votes; a change takes effect as soon as it is in the log."""
+        """Return the voting members; a change takes effect as soon as it is in the log."""
         return self.log.voters()
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads."""
+        """Return whether this member is the leader."""
         return self.role is Role.LEADER
 
     def propose(self, command: Any) -> int | None:
-        """Append a command: its index if it is committed in this term, None where another member leads."""
+        """Append a command to the log.
+
+        Returns the index that the command has if it is committed in this term, or None if this member is not
+        the leader.
+        """
         return self._append(Entry(self.hard_state.term, command)) if self.is_leader else None
 
     def change_voters(self, voters: tuple[str, ...]) -> int | None:
-        """Add or remove one voter; None where another leads, or an earlier change is not committed yet."""
+        """Add or remove one voter; return the index of the new log entry.
+
+        Returns None if this member is not the leader, if not exactly one voter changes or none would remain,
+        or as long as an earlier change is not committed or no entry of the current term is.
+        """
         changed = set(voters) ^ set(self.voters)
-        # Before an entry of its own term is committed, two leaders could each change another voter, and the
-        # majorities of these two sets need not meet.
+        # Without a committed entry of its own term, two leaders could each change a different voter, and the
+        # majorities of the two resulting sets need not overlap.
         is_settled = (
             self.log.voters_index() <= self.commit_index
             and self.log.term_at(self.commit_index) == self.hard_state.term
@@ -130,15 +136,16 @@
         return self._append(Entry(self.hard_state.term, None, tuple(voters)))
 
     def step_down(self) -> None:
-        """Follow nobody, and stand for election soon: this member was silent, so that others know no leader.
+        """Become a follower without a leader, and start an election early.
 
-        Whoever was elected meanwhile is heard before, as its heartbeats come more often.
+        This member was silent, so the other members may have no leader. If a leader was elected meanwhile,
+        its heartbeat arrives before the election starts, because heartbeats are more frequent.
         """
         self._become_follower(self.hard_state.term, "")
         self._election_timeout = self._random.randint(HEARTBEAT_INTERVAL_TICKS + 1, EARLY_ELECTION_TICKS)
 
     def tick(self) -> None:
-        """Note that one more tick has passed."""
+        """Advance this member's timers by one tick."""
         self._contact_ticks += 1
         if self.is_leader:
             self._tick_leader()
@@ -158,7 +165,7 @@
             is_from_leader = isinstance(message, AppendEntries | InstallSnapshot)
             self._become_follower(message.term, sender if is_from_leader else "")
             if was_leader and not is_from_leader:
-                # Most likely nobody leads: a candidate that others do not vote for has told its term.
+                # Most likely there is no leader: the newer term is that of a candidate without a majority.
                 self.step_down()
         match message:
             case RequestVoteResponse():
@@ -171,7 +178,7 @@
                 self._handle_install_snapshot(sender, message)
 
     def ready(self) -> Ready:
-        """Return what has come up since the last call."""
+        """Return the work that has accumulated since the last call."""
         ready, self._pending = self._pending, Ready()
         if self.hard_state != self._saved_hard_state:
             ready.hard_state = self._saved_hard_state = self.hard_state
@@ -186,13 +193,16 @@
         return [IndexedEntry(index, self.log.entry_at(index)) for index in range(begin + 1, last + 1)]
 
     def advance(self) -> None:
-        """Note that all that the last `ready` gave is on disk: only now a leader's own entries count."""
+        """Record that the result of the last `ready` is on disk; only then a leader's own entries count."""
         if self.is_leader:
             self._match_index[self.name] = self._stable_index
             self._advance_commit_index()
 
     def compact(self, state: Any) -> Snapshot | None:
-        """Return a snapshot for the disk, with the register's state at `last_applied`, once it is due."""
+        """Return a snapshot for the disk if one is due, else None.
+
+        `state` is the register's state at `last_applied`.
+        """
         if self.last_applied - self.log.snapshot.index < SNAPSHOT_THRESHOLD:
             return None
         term = self.log.entry_at(self.last_applied).term
@@ -200,8 +210,6 @@
         self.log.compact(Snapshot(self.last_applied, term, voters, state))
         return self.log.snapshot
 
-    # ---- elections ------------------------------------------------------------------------------------
-
     def _other_voters(self) -> list[str]:
         return [name for name in self.voters if name != self.name]
 
@@ -228,7 +236,7 @@
         self._contact_ticks = 0
         self._next_index = {name: self.log.last_index + 1 for name in self.voters}
         self._match_index = dict.fromkeys(self.voters, 0)
-        self._append(Entry(self.hard_state.term))  # entries of earlier terms are committed along with it
+        self._append(Entry(self.hard_state.term))  # its commit also commits the entries of earlier terms
 
     def _tick_leader(self) -> None:
         self._heartbeat_ticks += 1
@@ -261,10 +269,10 @@
     def _handle_request_vote(self, sender: str, request: RequestVote) -> None:
         last_entry = (self.log.last_term, self.log.last_index)
         is_up_to_date = (request.last_log_term, request.last_log_index) >= last_entry
-        # A member that was cut off and comes back would otherwise depose a leader that all others hear. A
-        # leader that asks itself has stepped down.
-        hears_leader = self.leader not in ("", sender) and self._contact_ticks < ELECTION_TIMEOUT_TICKS
-        has_leader = self.is_leader or hears_leader
+        # Otherwise a member that rejoins after a partition would depose a leader with whom all others are in
+        # contact. If the leader itself requests a vote, it has stepped down.
+        follows_leader = self.leader not in ("", sender) and self._contact_ticks < ELECTION_TIMEOUT_TICKS
+        has_leader = self.is_leader or follows_leader
         if request.pre_vote:
             granted = request.term > self.hard_state.term and is_up_to_date and not has_leader
             term = request.term if granted else self.hard_state.term
@@ -296,8 +304,6 @@
         else:
             self._become_leader()
 
-    # ---- log replication ------------------------------------------------------------------------------
-
     def _append(self, entry: Entry) -> int:
         index = self.log.append(entry)
         for other in self._other_voters():
@@ -305,7 +311,7 @@
         return index
 
     def _send_entries(self, other: str) -> None:
-        """Send a member the entries that it lacks, or a snapshot where the log no longer has them."""
+        """Send a member the entries that it lacks, or a snapshot if the log no longer has them."""
         prev_index = self._next_index.setdefault(other, self.log.last_index + 1) - 1
         prev_term = self.log.term_at(prev_index)
         if prev_term is None:
@@ -367,7 +373,7 @@
     def _advance_commit_index(self) -> None:
         match_indices = sorted((self._match_index.get(name, 0) for name in self.voters), reverse=True)
         index = match_indices[len(self.voters) // 2]
-        # An entry of an earlier term on a majority can still be replaced, one of this term cannot.
+        # An entry of an earlier term can still be replaced when a majority has it; one of this term cannot.
         if index <= self.commit_index or self.log.term_at(index) != self.hard_state.term:
             return
         self.commit_index = index
--- a/frostfall/consensus/raft_log.py
+++ b/frostfall/consensus/raft_log.py
@@ -11,7 +11,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry: a command for the register, a new set of voters, or nothing (a new leader's first)."""
+    """A log entry: a command for the register, a new set of voters, or neither (a new leader's first)."""
 
     term: int
     command: Any = None
@@ -26,7 +26,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state that all entries up to an index have led to."""
+    """The state that results from all entries up to and including an index."""
 
     index: int = 0
     term: int = 0
@@ -35,25 +35,25 @@
 
 
 class RaftLog:
-    """Entries from the one after the snapshot on; indices begin with 1."""
+    """A snapshot and the entries after it; the index of the first entry of a log is 1."""
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
-        """Begin with a snapshot and the entries after it."""
+        """Start with a snapshot and the entries after it."""
         self.snapshot = snapshot
         self.entries = list(entries)
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """Return the index of the last entry."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Return the term of the last entry."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry; None where the log does not have it, or no longer."""
+        """Return the term of an entry, or None if the log does not have the entry or no longer has it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index:
@@ -61,23 +61,23 @@
         return None
 
     def entries_after(self, index: int, limit: int = MAX_ENTRIES_PER_MESSAGE) -> list[Entry]:
-        """Return up to `limit` entries after an index that the log has."""
+        """Return up to `limit` entries after `index`, which has to be in the log."""
         begin = index - self.snapshot.index
         return self.entries[begin : begin + limit]
 
     def entry_at(self, index: int) -> Entry:
-        """Return an entry that the log has."""
+        """Return the entry at `index`, which has to be in the log."""
         return self.entries[index - self.snapshot.index - 1]
 
     def append(self, entry: Entry) -> int:
-        """Append an entry; its index."""
+        """Append an entry and return its index."""
         self.entries.append(entry)
         return self.last_index
 
     def reconcile(self, index: int, entries: list[Entry]) -> int | None:
-        """Take in a leader's entries after an index; the first index that changed, None where none did.
+        """Apply a leader's entries after an index; return the first index that changed, None if none did.
 
-        Entries that agree stay: a message that comes late must not undo what came after it.
+        Entries that already match are retained: a delayed message must not remove entries of later messages.
         """
         for offset, entry in enumerate(entries):
             entry_index = index + 1 + offset
@@ -89,14 +89,14 @@
         return None
 
     def voters(self) -> tuple[str, ...]:
-        """Return the voters by the newest entry that sets them, committed or not."""
+        """Return the voters according to the newest entry that sets them, committed or not."""
         for entry in reversed(self.entries):
             if entry.voters is not None:
                 return entry.voters
         return self.snapshot.voters
 
     def voters_as_of(self, index: int) -> tuple[str, ...]:
-        """Return the voters by the newest entry up to an index that sets them."""
+        """Return the voters according to the newest entry up to `index` that sets them."""
         for entry in reversed(self.entries[: index - self.snapshot.index]):
             if entry.voters is not None:
                 return entry.voters
@@ -110,7 +110,7 @@
         return self.snapshot.index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replace the entries up to a snapshot's index by it; all entries where the log lacks that index."""
-        is_known = self.term_at(snapshot.index) is not None
-        self.entries = self.entries[snapshot.index - self.snapshot.index :] if is_known else []
+        """Replace the entries up to a snapshot's index by it, or all entries if the log lacks that index."""
+        is_in_log = self.term_at(snapshot.index) is not None
+        self.entries = self.entries[snapshot.index - self.snapshot.index :] if is_in_log else []
         self.snapshot = snapshot
--- a/frostfall/membership/__init__.py
+++ b/frostfall/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the group: incarnations, suspicion and stale members, decided without I/O."""
+"""Membership of the group: incarnations, suspicion and stale logs. No I/O."""
--- a/frostfall/membership/member_list.py
+++ b/frostfall/membership/member_list.py
@@ -1,15 +1,15 @@
-"""Who is in the group, in which incarnation, and what each member has recorded of the others. No I/O.
-
-Incarnation numbers and suspicion are those of SWIM (Das, Gupta, Motivala 2002). Groups are small and every
-member sends heartbeats to every other one, so there is no random choice of a target and no indirect probe.
-From Lifeguard (Dadgar, Phillips, Currey 2018) comes that a member's own pauses must not make it suspect
-others: time is counted in protocol periods that it has itself attended, so one that it slept through is none.
-The phi accrual detector (Hayashibara et al. 2004), whose threshold adapts to the variance of arrivals, was
-considered and not needed. Safety does not depend on suspicion.
-
-Each member records on disk the incarnations that it knows of the others. A member whose log is lost or
-restored from an older copy is thereby recognised: the incarnation or batch that its log ended with is older
-than recorded. It is called stale.
+"""Members of the group, their incarnations, and the members' records of each other. No I/O.
+
+Incarnation numbers and suspicion follow SWIM (Das, Gupta, Motivala 2002). Groups are small and every member
+sends heartbeats to every other member, so there is no random choice of a target and no indirect probe. As in
+Lifeguard (Dadgar, Phillips, Currey 2018), a member's own pauses must not make it suspect others: time is
+counted in protocol periods during which the member itself was running, so periods that it missed while paused
+do not count. The phi accrual detector (Hayashibara et al. 2004), whose threshold adapts to the variance of
+heartbeat arrivals, is not needed here. Safety does not depend on suspicion.
+
+Each member records the incarnations of the others on disk. This detects a member whose log was lost or
+restored from an older copy: the incarnation or batch that its log ended with is older than the recorded one.
+Such a log is called stale.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class MemberState(Enum):
-    """What a member is taken for; the values are reported to operators."""
+    """State of a member as seen by another member; the values are reported to operators."""
 
     UNKNOWN = "unheard"
     ALIVE = "here"
@@ -32,7 +32,7 @@
 
 
 class StateChange(NamedTuple):
-    """A member whose state has changed, and its new state."""
+    """A change of a member's state: the member's name and its new state."""
 
     name: str
     state: MemberState
@@ -40,84 +40,84 @@
 
 @dataclass(slots=True)
 class Incarnation:
-    """One run of a member, from a start to the next."""
+    """One run of a member's process, from one start to the next."""
 
-    number: int = 0  # 0: none
-    durable_batch: int = 0  # last batch that it had on disk
-    token: str = ""  # random, made when the incarnation began
+    number: int = 0  # 0: no incarnation
+    durable_batch: int = 0  # last batch that the member had on disk
+    token: str = ""  # random, generated at the start of the incarnation
 
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of one other member."""
+    """This member's information on one other member."""
 
     incarnation: Incarnation = field(default_factory=Incarnation)
-    recorded_incarnation: Incarnation = field(default_factory=Incarnation)  # what of it is on disk here
+    recorded_incarnation: Incarnation = field(default_factory=Incarnation)  # on this member's disk
     state: MemberState = MemberState.UNKNOWN
     periods_since_heartbeat: int = 0
-    acknowledged_incarnation: int = 0  # highest own incarnation that the peer has on disk
-    clock_offset: float = 0.0  # seconds that its wall clock is ahead of the own one
-    incomplete_reason: str = ""  # why its log is incomplete, as it says itself
-    # Why its log is stale, as recorded here: until it reports an incomplete log itself.
+    acknowledged_incarnation: int = 0  # highest incarnation of this member that the peer has on disk
+    clock_offset: float = 0.0  # seconds by which the peer's wall clock is ahead of this member's
+    incomplete_reason: str = ""  # why the peer's log is incomplete, as reported by the peer
+    # Why the peer's log is stale, as recorded here; dropped once the peer itself reports an incomplete log.
     stale_reason: str = ""
-    latest_stale_reason: str = ""  # the same of the sender of the latest heartbeat
-    newer_own_incarnation: int = 0  # newer incarnation of this very member that the peer says is alive
-    newer_own_incarnation_periods: int = 0  # since it says so
-    readiness_stage: str = ""  # that it waits for
+    latest_stale_reason: str = ""  # why the log is stale, judged by the latest heartbeat alone
+    newer_own_incarnation: int = 0  # newer incarnation of this member that the peer reports as alive
+    newer_own_incarnation_periods: int = 0  # periods since the peer reported it
+    readiness_stage: str = ""  # stage that the peer waits for
 
 
 class HeartbeatVerdict(Enum):
-    """How a heartbeat relates to what is known of its sender."""
+    """Result of comparing a heartbeat's incarnation with the sender's known incarnations."""
 
     ACCEPTED = "good"
-    NEW_INCARNATION = "new life"  # has to be recorded on disk before it is acknowledged
-    SUPERSEDED = "replaced"  # a newer incarnation of the sender is known
+    NEW_INCARNATION = "new life"  # the incarnation has to be recorded on disk before it is acknowledged
+    SUPERSEDED = "replaced"  # the sender has a newer incarnation, or another run with the same number
 
 
 class MemberList:
-    """The group as one member sees it."""
+    """One member's view of the group."""
 
     def __init__(self, own_name: str, names: tuple[str, ...], options: HeartbeatOptions) -> None:
-        """Create a list in which no member has been heard from; `names` may include the own one."""
+        """Create a list in which all members are unknown; `names` may include `own_name`."""
         self.own_name = own_name
         self.peers = {name: Peer() for name in names if name != own_name}
-        self.incarnation = 0  # own number; 0 until it is on disk
+        self.incarnation = 0  # this member's number; 0 until it is on disk
         self.incarnation_token = ""
-        self.incarnation_floor = 0  # the own number has to be higher
-        self.superseded_by = 0  # newer incarnation of this very member, once that is certain
-        self.stale_reason = ""  # why the own log is stale, as another member says
+        self.incarnation_floor = 0  # this member's number has to be higher
+        self.superseded_by = 0  # newer incarnation of this member, once that is certain; else 0
+        self.stale_reason = ""  # why this member's log is stale, as reported by another member
         self._options = options
 
     @property
     def majority(self) -> int:
-        """Number of members that are more than half of the group."""
+        """Return the smallest number of members that is more than half of the group."""
         return (len(self.peers) + 1) // 2 + 1
 
     @property
     def alive(self) -> list[str]:
-        """Names of the other members that are alive or only suspected."""
+        """Return the names of the other members that are alive or suspected."""
         states = (MemberState.ALIVE, MemberState.SUSPECT)
         return [name for name, peer in self.peers.items() if peer.state in states]
 
     @property
     def acknowledgement_count(self) -> int:
-        """Number of members that have the own incarnation on disk, including this one."""
+        """Return the number of members, including this one, that have this member's incarnation on disk."""
         if not self.incarnation:
             return 0
         return 1 + sum(peer.acknowledged_incarnation >= self.incarnation for peer in self.peers.values())
 
     @property
     def contested_incarnation(self) -> int:
-        """Newer incarnation of this very member that some member says is alive; 0 if none."""
+        """Return the newest later incarnation of this member that a member reports as alive; 0 if none."""
         return max((peer.newer_own_incarnation for peer in self.peers.values()), default=0)
 
     @property
     def no_stale_peers(self) -> bool:
-        """Whether no other member's log is known here to be stale."""
+        """Return whether no other member's log is recorded as stale here."""
         return not any(peer.stale_reason for peer in self.peers.values())
 
     def restore(self, name: str, incarnation: Incarnation, stale_reason: str) -> None:
-        """Take over what an earlier incarnation of this member has recorded of another one."""
+        """Restore what an earlier incarnation of this member has recorded of another member."""
         if peer := self.peers.get(name):
             peer.recorded_incarnation = incarnation
             peer.stale_reason = stale_reason
@@ -132,16 +132,16 @@
         clock_offset: float,
         incomplete_reason: str,
     ) -> HeartbeatVerdict | None:
-        """Process another member's heartbeat; None where the name is unknown.
+        """Process another member's heartbeat; return None if the name is unknown.
 
-        `startup_incarnation` is the one that the sender's log ended with when it started.
+        `startup_incarnation` is the incarnation that the sender's log ended with when the sender started.
         """
         peer = self.peers.get(name)
         if peer is None:
             return None
         is_recorded = incarnation.token == peer.recorded_incarnation.token
         # Recording the sender's incarnation overwrites the evidence that its log is stale. So the reason is
-        # kept here and sent to it until it has recorded itself that its log is incomplete.
+        # stored separately and sent to the sender until the sender has recorded that its log is incomplete.
         peer.latest_stale_reason = (
             "" if is_recorded else _stale_reason(peer.recorded_incarnation, startup_incarnation)
         )
@@ -166,11 +166,11 @@
     def receive_view_of_self(
         self, name: str, recorded_incarnation: Incarnation, recorded_is_alive: bool, stale_reason: str
     ) -> None:
-        """Process what another member knows of this one.
+        """Process another member's information on this member.
 
-        It has `recorded_incarnation` of this member on disk; `recorded_is_alive` says whether it receives
-        that incarnation's heartbeats, and `stale_reason` why it holds this member's log for stale, if it
-        does.
+        `recorded_incarnation` is the incarnation of this member that the other member has on disk.
+        `recorded_is_alive` tells whether the other member receives that incarnation's heartbeats.
+        `stale_reason` tells why the other member considers this member's log stale; empty if it does not.
         """
         peer = self.peers.get(name)
         if peer is None:
@@ -181,19 +181,19 @@
         if number == self.incarnation and recorded_incarnation.token == self.incarnation_token:
             peer.acknowledged_incarnation = number
         elif number >= self.incarnation > 0:
-            # A member that has served and then learns of a newer incarnation that is alive is the older of
-            # two processes, and stops. One that only starts, or learns of an incarnation that has ended,
-            # takes a higher number.
+            # If this member has served and a newer incarnation is alive, this process is the older of two
+            # and stops. If this member is still starting, or if the reported incarnation has ended, this
+            # member takes a higher number.
             has_served = self.acknowledgement_count >= self.majority
             if recorded_is_alive and number > self.incarnation and has_served:
-                peer.newer_own_incarnation = number  # may have ended all the same: see `advance_period`
+                peer.newer_own_incarnation = number  # may have ended already: see `_check_superseded`
             else:
                 peer.newer_own_incarnation = 0
                 peer.newer_own_incarnation_periods = 0
                 self.incarnation_floor = max(self.incarnation_floor, number)
 
     def mark_recorded(self, name: str, incarnation: Incarnation, stale_reason: str = "") -> None:
-        """Note that another member's incarnation, and why its log is stale, are on disk."""
+        """Record that another member's incarnation and the reason why its log is stale are on disk."""
         peer = self.peers[name]
         recorded = peer.recorded_incarnation
         is_newer = (incarnation.number, incarnation.durable_batch) > (recorded.number, recorded.durable_batch)
@@ -203,12 +203,12 @@
             peer.recorded_incarnation = incarnation
 
     def incarnations_agreed(self, tokens: dict[str, str], recorded_tokens: dict[str, dict[str, str]]) -> bool:
-        """Whether all members have recorded each other's present incarnations, and no log is stale.
+        """Return whether all members have recorded each other's current incarnations, and no log is stale.
 
-        `tokens` are the others' incarnation tokens as they say themselves, `recorded_tokens` what each of
-        them has recorded of the rest. Only then has every member compared every other one's log with its
-        record: otherwise one whose log is lost could be asked for operations before any member has told it
-        so.
+        `tokens` are the incarnation tokens that the other members report for themselves; `recorded_tokens`
+        are, by member, the tokens that the member has recorded of the others. If all agree, every member has
+        compared every other member's log with its record. Otherwise a member whose log is lost could be
+        queried for operations before any member has notified it of the loss.
         """
         current = {**tokens, self.own_name: self.incarnation_token}
         own_record = {name: peer.recorded_incarnation.token for name, peer in self.peers.items()}
@@ -221,7 +221,7 @@
         )
 
     def advance_period(self) -> list[StateChange]:
-        """Count one more attended protocol period; returns the members whose state it has changed."""
+        """Count one more protocol period of this member; return the resulting changes of members' states."""
         changes = []
         for name, peer in self.peers.items():
             self._check_superseded(peer)
@@ -236,16 +236,16 @@
         return changes
 
     def _check_superseded(self, peer: Peer) -> None:
-        """Take the own incarnation for superseded once a peer has reported a newer one for long enough."""
+        """Mark this member as superseded once a peer has reported a newer incarnation for long enough."""
         if peer.newer_own_incarnation:
             peer.newer_own_incarnation_periods += 1
-            # An incarnation that has ended would be suspected by the peer by now.
+            # If the newer incarnation had ended, the peer would suspect it by now.
             if peer.newer_own_incarnation_periods > self._options.suspect + 1:
                 self.superseded_by = max(self.superseded_by, peer.newer_own_incarnation)
 
 
 def _stale_reason(recorded: Incarnation, startup: Incarnation) -> str:
-    """Why a log that ended with `startup` is older than recorded; empty where it is not."""
+    """Return why a log that ended with `startup` is older than the recorded incarnation; "" if it is not."""
     if recorded.number > startup.number:
         return f"knew life {recorded.number} of this member, its folder {startup.number or 'none'}"
     if recorded.number and recorded.number == startup.number:
--- a/frostfall/zones/__init__.py
+++ b/frostfall/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Zones and regions, decided without I/O: detection of faults of a zone, and plans of the traffic between."""
+"""Zones and regions: detection of a zone's faults, and plans of the traffic between zones. No I/O."""
--- a/frostfall/zones/fault_detection.py
+++ b/frostfall/zones/fault_detection.py
@@ -1,15 +1,16 @@
-"""Detection of zones that are lost, partitioned from here, failing or slow. No I/O, no clock.
-
-Agents count the outcomes of their attempts by their own zone and the server's, round by round. For each pair
-of zones and each kind of fault a sequential test (Wald's SPRT, 1945) adds up log-likelihood ratios between
-the usual and the faulty share of attempts, with stated rates of false alarm and miss. It is reset at its
-lower bound (Page's CUSUM, 1954), so that a long good time does not hide a new fault.
-A test of a pair says only that these two zones do not reach each other; other zones' tests tell the rest:
-
-  lost         no zone reaches it, itself included where it can be heard
-  partitioned  some zones reach it and this one does not: the fault lies on the way
-  failing      it answers, and the answers are errors, seen from everywhere
-  slow         the same with answers that come late
+"""Detection of zones that are lost, partitioned from the observer, failing or slow. No I/O, no clock.
+
+Agents count the outcomes of their attempts in each round, by their own zone and the server's zone. For each
+pair of zones and each kind of fault, a sequential test (Wald's SPRT, 1945) adds up log-likelihood ratios of
+the faulty against the usual share of attempts, with given rates of false alarms and misses. The score is
+bounded below (Page's CUSUM, 1954), so that a long period without a fault does not hide a new fault.
+The test of one pair shows only that one zone does not reach the other. A zone's status follows from the tests
+of all pairs:
+
+  lost         no zone reaches it, including the zone itself if its counts arrive
+  partitioned  some zones reach it, but the observer's zone does not: the fault lies between the two
+  failing      it is reached, and its answers to all zones that reach it are errors
+  slow         it is reached, and its answers to all zones that reach it are late
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 import msgspec
 
-MAX_ERROR_RATE = 0.5  # of false alarms and of misses; from here on a test tells nothing
+MAX_ERROR_RATE = 0.5  # of false alarms and of misses; a test with a higher rate has no evidential value
 
 
 class FaultKind(Enum):
-    """What an attempt is evidence of."""
+    """The kind of fault that an attempt is evidence of."""
 
     SILENT = "silent"  # no connection, or no answer
     ERROR = "error"
@@ -34,7 +35,7 @@
 
 
 class ZoneStatus(Enum):
-    """The status of a zone, as seen from another."""
+    """The status of a zone, as seen from an observer's zone."""
 
     HEALTHY = "well"
     LOST = "lost"
@@ -44,15 +45,15 @@
 
 
 class DetectionRates(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The two hypotheses and the error rates of a test. ValueError where the values do not fit together."""
+    """The two hypotheses and the error rates of a test. Raises ValueError if the values are inconsistent."""
 
-    usual_share: float = 0.02  # of faulty attempts without a fault
-    fault_share: float = 0.4  # of faulty attempts with a fault
-    false_alarm: float = 1e-6  # probability for one test that begins at its lower bound
+    usual_share: float = 0.02  # share of faulty attempts without a fault
+    fault_share: float = 0.4  # share of faulty attempts with a fault
+    false_alarm: float = 1e-6  # probability, for one test that starts at its lower bound
     miss: float = 1e-2  # probability
 
     def __post_init__(self) -> None:
-        """Check that the values fit together."""
+        """Check that the values are consistent."""
         if not 0 < self.usual_share < self.fault_share < 1:
             raise ValueError(
                 f"fault_share: {self.fault_share:g} is not above usual_share, {self.usual_share:g}, "
@@ -64,15 +65,15 @@
 
 
 class ZonePair(NamedTuple):
-    """A direction between two zones."""
+    """A pair of zones, in the direction of the requests."""
 
-    agents: str  # the zone of the agents
-    servers: str  # the zone of the servers
+    agent_zone: str
+    server_zone: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """Attempts of one round between two zones, and how many are evidence of each kind of fault."""
+    """Numbers of attempts between two zones in one round: all, and the evidence of each kind of fault."""
 
     attempts: int
     silent: int = 0
@@ -81,83 +82,85 @@
 
     @property
     def answered(self) -> int:
-        """Attempts with an answer, be it an error or late."""
+        """Return the number of attempts with an answer, including errors and late answers."""
         return self.attempts - self.silent
 
 
 @dataclass(slots=True)
 class FaultTest:
-    """One sequential test."""
+    """One sequential test of whether there is a fault."""
 
     rates: DetectionRates
-    score: float = 0.0  # sum of log-likelihood ratios; above zero for a fault
-    raised: bool = False  # whether the fault is accepted
+    score: float = 0.0  # sum of log-likelihood ratios; positive if a fault is more likely than none
+    is_fault_accepted: bool = False
 
-    def record(self, bad: int, good: int) -> bool:
-        """Add outcomes; whether the fault is accepted now."""
+    def record(self, faulty: int, normal: int) -> bool:
+        """Add numbers of outcomes; return whether the test accepts the fault now."""
         rates = self.rates
         upper = log((1 - rates.miss) / rates.false_alarm)
         lower = log(rates.miss / (1 - rates.false_alarm))
-        bad_ratio = log(rates.fault_share / rates.usual_share)
-        good_ratio = log((1 - rates.fault_share) / (1 - rates.usual_share))
-        self.score += bad * bad_ratio + good * good_ratio
+        faulty_ratio = log(rates.fault_share / rates.usual_share)
+        normal_ratio = log((1 - rates.fault_share) / (1 - rates.usual_share))
+        self.score += faulty * faulty_ratio + normal * normal_ratio
         if self.score >= upper:
-            self.raised = True
+            self.is_fault_accepted = True
             self.score = upper
         elif self.score <= lower:
-            self.raised = False
+            self.is_fault_accepted = False
             self.score = lower
-        elif not self.raised:
-            # Below zero, a long good time would have to be outweighed by as long a bad one.
+        elif not self.is_fault_accepted:
+            # With a negative score, a fault would first have to outweigh the normal outcomes before it.
             self.score = max(self.score, 0.0)
-        return self.raised
+        return self.is_fault_accepted
 
 
 @dataclass(slots=True)
 class ZoneFaultDetector:
-    """The tests of all pairs of zones."""
+    """The fault tests of all pairs of zones."""
 
     rates: DetectionRates
     _tests: dict[ZonePair, dict[FaultKind, FaultTest]] = field(default_factory=dict)
 
     def record_round(self, counts: Mapping[ZonePair, AttemptCounts]) -> None:
-        """Add what the agents of all zones that can be heard counted in one round."""
+        """Add the counts of one round, from the agents of all zones whose counts have arrived."""
         late_everywhere = _median_late_share(counts.values())
         for pair, count in counts.items():
             tests = self._tests.setdefault(pair, {kind: FaultTest(self.rates) for kind in FaultKind})
             answered = count.answered
             tests[FaultKind.SILENT].record(count.silent, answered)
             tests[FaultKind.ERROR].record(count.error, max(answered - count.error, 0))
-            # What is late everywhere comes from the load and is no zone's fault.
+            # The share that is late everywhere is caused by load and is not evidence of a zone's fault.
             excess = max(count.late - round(late_everywhere * answered), 0)
             tests[FaultKind.LATE].record(excess, max(answered - excess, 0))
 
     def is_detected(self, pair: ZonePair, kind: FaultKind) -> bool:
-        """Whether a pair's test has accepted the fault."""
-        return pair in self._tests and self._tests[pair][kind].raised
-
-    def status(self, own: str, zone: str) -> ZoneStatus:
-        """The status of a zone, as seen from the zone `own`."""
-        observers = [pair.agents for pair in self._tests if pair.servers == zone]
-        unreached = [each for each in observers if self.is_detected(ZonePair(each, zone), FaultKind.SILENT)]
-        if unreached and len(unreached) == len(observers):
-            # With a single observer, only the way from there may be interrupted.
+        """Return whether a pair's test accepts the fault."""
+        return pair in self._tests and self._tests[pair][kind].is_fault_accepted
+
+    def status(self, observer_zone: str, zone: str) -> ZoneStatus:
+        """Return the status of `zone`, as seen from `observer_zone`."""
+        observers = [pair.agent_zone for pair in self._tests if pair.server_zone == zone]
+        cut_off = [
+            observer for observer in observers if self.is_detected(ZonePair(observer, zone), FaultKind.SILENT)
+        ]
+        if cut_off and len(cut_off) == len(observers):
+            # With a single observer, the fault may lie between the observer and the zone.
             return ZoneStatus.LOST if len(observers) > 1 else ZoneStatus.PARTITIONED
-        if own in unreached:
+        if observer_zone in cut_off:
             return ZoneStatus.PARTITIONED
-        reached = [each for each in observers if each not in unreached]
+        connected = [observer for observer in observers if observer not in cut_off]
         for kind, status in ((FaultKind.ERROR, ZoneStatus.FAILING), (FaultKind.LATE, ZoneStatus.SLOW)):
-            if reached and all(self.is_detected(ZonePair(each, zone), kind) for each in reached):
+            if connected and all(self.is_detected(ZonePair(observer, zone), kind) for observer in connected):
                 return status
         return ZoneStatus.HEALTHY
 
-    def forget(self, zone: str) -> None:
-        """Drop a zone's tests, as it returns and earlier outcomes say nothing of it now."""
+    def discard_tests(self, zone: str) -> None:
+        """Discard a zone's tests when the zone returns, because earlier outcomes are outdated."""
         for pair in [pair for pair in self._tests if zone in pair]:
             del self._tests[pair]
 
 
 def _median_late_share(counts: Iterable[AttemptCounts]) -> float:
-    """The median over all pairs of the share of late answers."""
+    """Return the median, over all pairs, of the share of late answers."""
     shares = sorted(count.late / count.answered for count in counts if count.attempts > count.silent)
     return shares[len(shares) // 2] if shares else 0.0
--- a/frostfall/zones/planners.py
+++ b/frostfall/zones/planners.py
@@ -1,9 +1,9 @@
-"""Ways to make a traffic plan. No I/O.
+"""Algorithms that compute a traffic plan. No I/O.
 
-A transportation problem: each zone's demand goes to zones that serve, at a cost by distance, within their
-capacity; what exceeds all capacity is rejected where its priority weight is least. `optimal_plan` solves it
-exactly by linear programming (HiGHS by scipy's `linprog`; Huangfu and Hall, 2018). `greedy_plan` and
-`proportional_plan` are simple ways to compare it with.
+This is a transportation problem: each zone's demand is sent to zones with capacity, at a cost by distance and
+within their capacity. Demand above the total capacity is rejected where its priority weight is lowest.
+`optimal_plan` solves the problem exactly by linear programming (HiGHS in scipy's `linprog`; Huangfu and Hall,
+2018). `greedy_plan` and `proportional_plan` are simple heuristics for comparison.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 
 
 class PlanningError(RuntimeError):
-    """The solver has found no plan, although rejecting everything always is one."""
+    """The solver has found no plan, although rejecting all requests is always feasible."""
 
 
 def optimal_plan(zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> TrafficPlan:
-    """The cheapest plan. Raises PlanningError where the solver finds none."""
-    # Imported here, as nothing else of the program needs scipy.
+    """Return the plan with the lowest total cost. Raises PlanningError if the solver finds none."""
+    # A local import, because nothing else in the program needs scipy.
     from scipy.optimize import linprog
     from scipy.sparse import coo_array
 
-    # One variable for each possible pair of source and target, and one for each zone's rejections.
+    # One variable for each possible pair of source and target, and one for each zone's rejected requests.
     pairs = _possible_pairs(zones)
-    variables = len(pairs) + len(zones)
-    shape = (len(zones), variables)
+    variable_count = len(pairs) + len(zones)
+    shape = (len(zones), variable_count)
     costs = [routing_cost(zones[source], zones[target], routing_costs) for source, target in pairs]
     costs += [zone.priority_weight for zone in zones]
     sources = [pair.source for pair in pairs]
     targets = [pair.target for pair in pairs]
-    # Of each zone's demand, all is sent or rejected; to each zone, no more is sent than its capacity.
+    # All of a zone's demand is sent or rejected, and no zone receives more than its capacity.
     sent_or_rejected = coo_array(
-        ([1.0] * variables, (sources + list(range(len(zones))), range(variables))), shape=shape
+        ([1.0] * variable_count, (sources + list(range(len(zones))), range(variable_count))), shape=shape
     )
     received = coo_array(([1.0] * len(pairs), (targets, range(len(pairs)))), shape=shape)
     result = linprog(
@@ -53,23 +53,27 @@
         method="highs",
     )
     if not result.success:
-        raise PlanningError(f"no plan: {result.message}")
+        raise PlanningError(f"the solver found no traffic plan: {result.message}")
     solution = [float(value) for value in result.x]
     routes = [Route(zones[source].name, zones[target].name) for source, target in pairs]
     return TrafficPlan(
         {route: flow for route, flow in zip(routes, solution) if flow > FLOW_EPSILON},
-        {zone.name: rest for zone, rest in zip(zones, solution[len(pairs) :]) if rest > FLOW_EPSILON},
+        {
+            zone.name: rejected
+            for zone, rejected in zip(zones, solution[len(pairs) :])
+            if rejected > FLOW_EPSILON
+        },
     )
 
 
-class _Pair(NamedTuple):
+class _IndexPair(NamedTuple):
     source: int  # index of a zone with demand
     target: int  # index of a zone with capacity
 
 
-def _possible_pairs(zones: Sequence[ZoneCapacity]) -> list[_Pair]:
+def _possible_pairs(zones: Sequence[ZoneCapacity]) -> list[_IndexPair]:
     return [
-        _Pair(source, target)
+        _IndexPair(source, target)
         for source in range(len(zones))
         for target in range(len(zones))
         if zones[source].demand > 0 and zones[target].capacity > 0
@@ -77,7 +81,7 @@
 
 
 def greedy_plan(zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> TrafficPlan:
-    """Each zone in turn takes the nearest capacity that is left."""
+    """Return a plan in which each zone, one after the other, takes the nearest capacity still free."""
     spare = {zone.name: zone.capacity for zone in zones}
     plan = TrafficPlan()
     for zone in zones:
@@ -95,7 +99,10 @@
 
 
 def proportional_plan(zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> TrafficPlan:
-    """Own zones first, then the excess in proportion to the spare capacity, own regions first."""
+    """Return a plan that serves demand in its own zone and distributes the excess.
+
+    The excess goes to zones in proportion to their spare capacity, first within the region, then outside it.
+    """
     local = {zone.name: min(zone.capacity, zone.demand) for zone in zones}
     spare = {zone.name: zone.capacity - local[zone.name] for zone in zones}
     excess = {zone.name: zone.demand - local[zone.name] for zone in zones}
@@ -111,7 +118,7 @@
                 if (zone.region == region) == same_region and spare[zone.name] > FLOW_EPSILON
             ]
             _distribute(plan, sources, targets, excess, spare)
-    plan.rejected.update({name: rest for name, rest in excess.items() if rest > FLOW_EPSILON})
+    plan.rejected.update({name: unsent for name, unsent in excess.items() if unsent > FLOW_EPSILON})
     return plan
 
 
@@ -122,18 +129,21 @@
     excess: dict[str, float],
     spare: dict[str, float],
 ) -> None:
-    """Send the sources' excess to the targets in proportion to their spare capacity; updates all three."""
-    wanted = sum(excess[name] for name in sources)
+    """Send the sources' excess to the targets in proportion to their spare capacity.
+
+    Updates `plan`, `excess` and `spare`.
+    """
+    total_excess = sum(excess[name] for name in sources)
     capacity = sum(spare[name] for name in targets)
-    if wanted <= FLOW_EPSILON or capacity <= FLOW_EPSILON:
+    if total_excess <= FLOW_EPSILON or capacity <= FLOW_EPSILON:
         return
-    part = min(1.0, capacity / wanted)
+    moved_share = min(1.0, capacity / total_excess)
     for source in sources:
-        moved = excess[source] * part
+        moved = excess[source] * moved_share
         for target in targets:
             route = Route(source, target)
             plan.flows[route] = plan.flows.get(route, 0.0) + moved * spare[target] / capacity
     for target in targets:
-        spare[target] -= min(wanted, capacity) * spare[target] / capacity
+        spare[target] -= min(total_excess, capacity) * spare[target] / capacity
     for source in sources:
-        excess[source] *= 1 - part
+        excess[source] *= 1 - moved_share
--- a/frostfall/zones/traffic_plan.py
+++ b/frostfall/zones/traffic_plan.py
@@ -1,6 +1,6 @@
-"""A plan of which zone sends how much traffic where, its cost, and bounded steps between plans. No I/O.
+"""Traffic plans: how much traffic each zone sends to each zone, its cost, and bounded steps. No I/O.
 
-How a plan is made: `zones.planners`.
+`zones.planners` computes the plans.
 """
 
 from __future__ import annotations
@@ -11,34 +11,34 @@
 
 import msgspec
 
-FLOW_EPSILON = 1e-9  # requests a second; a smaller flow counts as none
+FLOW_EPSILON = 1e-9  # requests per second; a smaller flow counts as zero
 
 
 class RoutingCosts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The cost of sending a request elsewhere, as a part of its priority weight."""
+    """The cost of sending a request to another zone, as a fraction of its priority weight."""
 
     zone: float = 0.02  # to another zone of the region
     region: float = 0.2  # to another region
 
     def __post_init__(self) -> None:
-        """Check the order."""
+        """Check the order of the costs. Raises ValueError, whose message begins with the key."""
         if not 0 <= self.zone <= self.region <= 1:
             raise ValueError(f"region: {self.region:g} is not from zone, {self.zone:g}, to 1")
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneCapacity:
-    """One zone as a plan sees it."""
+    """One zone's input to a plan."""
 
     name: str
     region: str
-    demand: float  # requests a second that come to its agents
-    capacity: float  # requests a second that its servers can serve; 0 while it is out
-    priority_weight: float = 1.0  # of one of its requests
+    demand: float  # requests per second that its agents receive
+    capacity: float  # requests per second that its servers can serve; 0 while the zone is out of service
+    priority_weight: float = 1.0  # of one request
 
 
 class Route(NamedTuple):
-    """A direction of traffic between two zones, or within one."""
+    """A source and a target zone of traffic, which may be the same zone."""
 
     source: str
     target: str
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficPlan:
-    """Requests a second by route, and those that are rejected by zone."""
+    """Requests per second that are sent, by route, and that are rejected, by zone."""
 
     flows: dict[Route, float] = field(default_factory=dict)
     rejected: dict[str, float] = field(default_factory=dict)
 
     def traffic_split(self, zone: str) -> dict[str, float]:
-        """The shares of a zone's requests by target; the rest to 1 is rejected."""
+        """Return the shares of a zone's requests by target; the remainder up to 1 is rejected."""
         total = self.rejected.get(zone, 0.0) + self.sent(zone)
         if not total:
             return {}
@@ -64,15 +64,15 @@
         }
 
     def sent(self, zone: str) -> float:
-        """Requests a second that a zone's agents send."""
+        """Return the requests per second that a zone's agents send."""
         return sum(flow for route, flow in self.flows.items() if route.source == zone)
 
     def load(self, zone: str) -> float:
-        """Requests a second that a zone's servers get."""
+        """Return the requests per second that a zone's servers receive."""
         return sum(flow for route, flow in self.flows.items() if route.target == zone)
 
     def total_cost(self, zones: Sequence[ZoneCapacity], routing_costs: RoutingCosts) -> float:
-        """The cost a second: of routes, and the priority weight of what is rejected."""
+        """Return the cost per second: routing costs, and the priority weight of rejected requests."""
         by_name = {zone.name: zone for zone in zones}
         routed = sum(
             flow * routing_cost(by_name[route.source], by_name[route.target], routing_costs)
@@ -82,24 +82,25 @@
 
 
 def routing_cost(source: ZoneCapacity, target: ZoneCapacity, routing_costs: RoutingCosts) -> float:
-    """The cost of sending one request from a zone to another."""
+    """Return the cost of sending one request from a zone to another."""
     if source.name == target.name:
         return 0.0
-    part = routing_costs.zone if source.region == target.region else routing_costs.region
-    return part * source.priority_weight
+    fraction = routing_costs.zone if source.region == target.region else routing_costs.region
+    return fraction * source.priority_weight
 
 
 def step_towards(
     old: TrafficPlan, new: TrafficPlan, zones: Sequence[ZoneCapacity], max_growth: float
 ) -> TrafficPlan:
-    """A step from one plan to another, in which no zone's load grows by more than a part of its capacity.
+    """Return a step from one plan towards another that limits the growth of each zone's load.
 
-    One factor applies to all flows, so that what is sent adds up to the demand: a point between two plans
-    within the capacities is within them too. A zone of the old plan without capacity is left at once.
+    `max_growth` is the allowed growth as a fraction of the zone's capacity. One factor applies to all flows,
+    so that sent and rejected requests add up to the demand, and a point between two plans within the
+    capacities is within them too. Flows of the old plan to a zone without capacity end at once.
     """
     by_name = {zone.name: zone for zone in zones}
-    kept = {route: flow for route, flow in old.flows.items() if by_name[route.target].capacity > 0}
-    start = TrafficPlan(kept, dict(old.rejected))
+    remaining = {route: flow for route, flow in old.flows.items() if by_name[route.target].capacity > 0}
+    start = TrafficPlan(remaining, dict(old.rejected))
     factor = _step_factor(start, new, zones, max_growth)
     flows = {
         route: (1 - factor) * start.flows.get(route, 0.0) + factor * new.flows.get(route, 0.0)
@@ -109,7 +110,7 @@
     unsent: Mapping[str, float] = {zone.name: zone.demand - step.sent(zone.name) for zone in zones}
     return TrafficPlan(
         {route: flow for route, flow in flows.items() if flow > FLOW_EPSILON},
-        {name: rest for name, rest in unsent.items() if rest > FLOW_EPSILON},
+        {name: rejected for name, rejected in unsent.items() if rejected > FLOW_EPSILON},
     )
 
 
