--- a/frostfall/membership/member_list.py
+++ b/frostfall/membership/member_list.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Peer:
-    """This member's information on one other member."""
+    """Information about one other member."""
 
     incarnation: Incarnation = field(default_factory=Incarnation)
     recorded_incarnation: Incarnation = field(default_factory=Incarnation)  # on this member's disk
