--- a/frostfall/consensus/raft.py
+++ b/frostfall/consensus/raft.py
@@ -199,7 +199,7 @@
             self._advance_commit_index()
 
     def compact(self, state: Any) -> Snapshot | None:
-        """Return a snapshot for the disk if one is due, else None.
+        """Replace the applied entries by a snapshot if one is due, and return it for the disk; else None.
 
         `state` is the register's state at `last_applied`.
         """
--- a/frostfall/gossip/list_gossip.py
+++ b/frostfall/gossip/list_gossip.py
@@ -245,7 +245,7 @@
             is_confirmed=self._is_generation_confirmed,
             changes=(),
         )
-        for fragment in range(
+        for index in range(
             query.first_fragment, min(len(fragments), query.first_fragment + MAX_FRAGMENTS_PER_QUERY)
         ):
             if self._updates_left <= 0:
@@ -254,7 +254,7 @@
             self._updates_left -= 1
             yield api.SendGossip(
                 peer,
-                encode_update(replace(template, fragment=fragment, changes=tuple(fragments[fragment]))),
+                encode_update(replace(template, fragment=index, changes=tuple(fragments[index]))),
             )
 
     def _notify_requesters(self, now: Microseconds) -> Iterator[api.Action]:
--- a/frostfall/gossip/peer_restrictions.py
+++ b/frostfall/gossip/peer_restrictions.py
@@ -2,15 +2,15 @@
 
 Peers can only take servers out of use. A claim that a quorum of peers confirms (each has it from discovery or
 from a quorum itself) applies to any number of servers and may be forwarded as confirmed. Claims that fewer
-peers confirm apply to a limited share of the servers that are up. A single faulty or forged peer, together
-with all agents that repeat its claims, therefore takes at most that share out of use.
+peers confirm apply to a limited share of the servers that are up. A single faulty peer or sender of forged
+messages, together with all agents that repeat its claims, therefore takes at most that share out of use.
 """
 
 from dataclasses import dataclass, field
 
 from frostfall.interface import Microseconds
 
-QUORUM = 2  # agents that have to confirm a claim before claims apply to any number of servers
+QUORUM = 2  # agents that have to confirm a claim; confirmed claims apply to any number of servers
 MAX_UNCONFIRMED_SHARE = 0.25  # of the servers that are up, to which claims without a quorum apply
 CLAIM_LIFETIME = 60_000_000  # microseconds after its last repetition at which a claim expires
 
--- a/frostfall/membership/member_list.py
+++ b/frostfall/membership/member_list.py
@@ -108,7 +108,7 @@
 
     @property
     def contested_incarnation(self) -> int:
-        """Return the newest later incarnation of this member that a member reports as alive; 0 if none."""
+        """Return the highest newer incarnation of this member that a peer reports as alive; 0 if none."""
         return max((peer.newer_own_incarnation for peer in self.peers.values()), default=0)
 
     @property
--- a/frostfall/zones/fault_detection.py
+++ b/frostfall/zones/fault_detection.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-MAX_ERROR_RATE = 0.5  # of false alarms and of misses; a test with a higher rate has no evidential value
+MAX_ERROR_RATE = 0.5  # exclusive, of false alarms and of misses; at 0.5 a test is no better than chance
 
 
 class FaultKind(Enum):
