--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -261,7 +261,7 @@
         if not await self._disk.wait_durable(last_ticket):
             raise SyncError("the disk has failed here")
         for operation in may_have_run:
-            self._operation_log.restore_durable(operation)
+            self._operation_log.on_restore_durable(operation)
         await anyio.sleep(size / self.scheduler.options.rate)
 
     def _restore_item(self, owner: str, item: ReplicaItem) -> int | None:
--- a/frostfall/net/operations/dispatch.py
+++ b/frostfall/net/operations/dispatch.py
@@ -63,7 +63,7 @@
         """Whether the own record is complete, or the own replicas lack earlier attempts too."""
         if self._context.replication is None or self._context.operation_log.incomplete_reason is None:
             return True
-        if not operation.needs_poll or operation.vouched_by_replicas:
+        if not operation.needs_poll or operation.confirmed_by_replicas:
             return True
         return await self._settlement.check_own_replicas(operation, deadline)
 
--- a/frostfall/net/operations/endings.py
+++ b/frostfall/net/operations/endings.py
@@ -32,7 +32,7 @@
 
     def _finish_when_durable(self, operation: Operation, ticket: int, answer: bytes | None) -> None:
         def on_durable(good: bool) -> None:
-            next_ticket = self._context.operation_log.end_durable(operation) if good else 0
+            next_ticket = self._context.operation_log.on_end_durable(operation) if good else 0
             if next_ticket:
                 self._finish_when_durable(operation, next_ticket, answer)
                 return
--- a/frostfall/net/operations/settlement.py
+++ b/frostfall/net/operations/settlement.py
@@ -95,7 +95,7 @@
         if any(each is None or each.status is not OperationStatus.ABSENT for each in results):
             return best_result(results)
         own_record_counts = not self._context.operation_log.incomplete_reason
-        operation.confirmed_absent = own_record_counts or operation.vouched_by_replicas
+        operation.confirmed_absent = own_record_counts or operation.confirmed_by_replicas
         return None
 
     def _may_fence(self, replies: PollReplies, members: list[str]) -> bool:
@@ -114,5 +114,5 @@
         They are read before the present intent is replicated; nobody else writes under this member's name.
         """
         (result,) = await self.read_replicas(operation.name, [self._context.name], deadline)
-        operation.vouched_by_replicas = result is not None and result.status is OperationStatus.ABSENT
-        return operation.vouched_by_replicas
+        operation.confirmed_by_replicas = result is not None and result.status is OperationStatus.ABSENT
+        return operation.confirmed_by_replicas
--- a/frostfall/net/recovery/vote_holds.py
+++ b/frostfall/net/recovery/vote_holds.py
@@ -59,7 +59,7 @@
         """Take over what a member tells of its own hold and of this member's."""
         if not self._core.disk.is_open:
             return
-        theirs, mine = self._holds.merge_gossip(
+        theirs, mine = self._holds.merge_heartbeat(
             heartbeat.sender,
             OperatorHold(*heartbeat.operator_hold),
             OperatorHold(*heartbeat.recorded_operator_hold),
--- a/frostfall/net/replication.py
+++ b/frostfall/net/replication.py
@@ -249,7 +249,7 @@
         if status is OperationStatus.ABSENT:
             if message.fence:
                 await self._sync(self.store.fence(message.owner, message.operation))
-                self.store.fence_synced(message.owner, message.operation)
+                self.store.on_fence_synced(message.owner, message.operation)
             if not is_trusted():
                 status = OperationStatus.INDETERMINATE
         statuses = [(status.value, result.answer)]
--- a/frostfall/recovery/__init__.py
+++ b/frostfall/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a start after a loss may trust, and the operations that must not run twice, decided without I/O."""
+"""Recovery after a loss, without I/O: trust in stored state, readiness, and non-idempotent operations."""
--- a/frostfall/recovery/completeness.py
+++ b/frostfall/recovery/completeness.py
@@ -1,4 +1,4 @@
-"""Whether the absence of an operation from a record proves that it never ran."""
+"""Completeness of a record: in a complete one, the absence of an operation proves that it never ran."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteReason:
-    """Why a record is incomplete: the absence of an operation in it proves nothing."""
+    """Reason why a record is incomplete, so that the absence of an operation from it proves nothing."""
 
     detail: str
 
     def __str__(self) -> str:
-        """The reason as it is logged, stored and sent to other members."""
+        """Return the reason as it is logged, stored and sent to other members."""
         return self.detail
 
 
 def incomplete_detail(reason: IncompleteReason | None) -> str:
-    """The reason as it is logged, stored and sent to other members; empty for a complete record."""
+    """Return the reason as it is logged, stored and sent to other members; empty for a complete record."""
     return "" if reason is None else reason.detail
--- a/frostfall/recovery/metadata.py
+++ b/frostfall/recovery/metadata.py
@@ -1,6 +1,6 @@
-"""Metadata records of the log, and how far each kind of state is trusted after a power loss.
+"""Metadata records of the log, and the trust in each kind of state after a power loss.
 
-The tags and the order of the fields are the stored format.
+The tags and the order of the fields are part of the stored format.
 """
 
 from __future__ import annotations
@@ -13,26 +13,30 @@
 
 
 class IncarnationStarted(msgspec.Struct, frozen=True, tag="life", array_like=True):
-    """The owner began an incarnation with this number; durable before any member is told."""
+    """Start of an incarnation of the log's owner; durable before any other member is notified.
+
+    The token is random, because an older copy of the directory would start the same number again.
+    """
 
     incarnation: int
-    token: str  # random: an older copy of the directory would begin the same number again
+    token: str
 
 
 class PeerIncarnation(msgspec.Struct, frozen=True, tag="seen", array_like=True):
-    """A member's incarnation as last seen, and the last batch that was durable there by then."""
+    """A member's incarnation as last received, and the last batch that was durable there at the time."""
 
     member: str
     incarnation: int
     batch: int
     token: str
-    stale_reason: str = ""  # why its directory is older than known, until it has recorded that itself
+    # Reason why the member's directory is an outdated copy; empty once the member has recorded that itself.
+    stale_reason: str = ""
 
 
 class RecordIncomplete(msgspec.Struct, frozen=True, tag="doubt", array_like=True):
-    """From here on the record is incomplete, for this reason; an empty reason: it is complete again.
+    """The record is incomplete from this point on, for this reason; complete again if the reason is empty.
 
-    `consensus_excluded`: the Raft votes cast are lost, and only operators can accept that.
+    `consensus_excluded` states that the Raft votes cast are lost; only operators can accept that loss.
     """
 
     reason: str
@@ -40,13 +44,16 @@
 
 
 class BuildRolledBack(msgspec.Struct, frozen=True, tag="back", array_like=True):
-    """A build that was rolled back or withdrawn; builds up to this number were never good since."""
+    """A build that was rolled back or withdrawn; all builds up to this number count as such."""
 
     build: int
 
 
 class VoteHold(msgspec.Struct, frozen=True, tag="hold", array_like=True):
-    """Operators hold votes for builds, or release them; recorded for another member where one is named."""
+    """A hold of operators on votes for builds, or its release.
+
+    It applies to the log's owner, or to another member if one is named.
+    """
 
     operator: str
     active: bool
@@ -55,34 +62,34 @@
 
 
 class ReplicaAssignment(msgspec.Struct, frozen=True, tag="keeps", array_like=True):
-    """The owners whose records are replicated here in full, and the members of the group by then."""
+    """The owners whose records are replicated here in full, and the members of the group at the time."""
 
     owners: list[str]
     members: list[str]
 
 
 class RaftVote(msgspec.Struct, frozen=True, tag="voted", array_like=True):
-    """Raft: the current term, and the candidate voted for in it."""
+    """Raft hard state: the current term, and the candidate voted for in it."""
 
     term: int
     voted_for: str
 
 
 class RaftEntry(msgspec.Struct, frozen=True, tag="ruled", array_like=True):
-    """Raft: a log entry, which replaces what stood at its index and after it."""
+    """A Raft log entry, which replaces all stored entries from its index on."""
 
     index: int
     entry: Any
 
 
 class RaftSnapshot(msgspec.Struct, frozen=True, tag="agreed", array_like=True):
-    """Raft: a snapshot of the state machine, which replaces all entries up to its index."""
+    """A snapshot of the Raft state machine, which replaces all entries up to its index."""
 
     snapshot: Any
 
 
 class CachedEndpointList(msgspec.Struct, frozen=True, tag="list", array_like=True):
-    """The endpoint list as last received from discovery, and the wall-clock seconds by then."""
+    """The endpoint list as last received from discovery, and the wall-clock time of that in seconds."""
 
     saved_at: float
     endpoint_list: Any
@@ -109,7 +116,7 @@
 
 
 def decode(data: bytes) -> MetadataRecord | None:
-    """Decode a metadata record; None for a kind that this version does not know."""
+    """Decode a metadata record; None if this version does not have its kind."""
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError:
@@ -117,7 +124,7 @@
 
 
 class TrustLevel(Enum):
-    """How far a kind of state is trusted at a start."""
+    """Trust in a kind of state at a start."""
 
     AUTHORITATIVE = "fact"
     HINT = "hint with an age"
@@ -127,12 +134,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StateTrust:
-    """How far a kind of state is trusted at a start, and what follows from it."""
+    """Trust in a kind of state at a start, and its consequence."""
 
     level: TrustLevel
     consequence: str
 
 
+# Each entry is a row of a table in docs/design-power-loss.md; a test compares them.
 TRUST_BY_STATE: dict[str, StateTrust] = {
     "own incarnation": StateTrust(
         TrustLevel.AUTHORITATIVE, "the next life's is higher, also than any that others saw"
--- a/frostfall/recovery/readiness.py
+++ b/frostfall/recovery/readiness.py
@@ -1,8 +1,9 @@
-"""Staged readiness after a start: named stages, each with its condition and its timeout.
+"""Staged readiness after a start: named stages, each with a condition and some with a timeout.
 
-No I/O; times are seconds since the process started. There are no circular waits: what a member tells another
-needs only its own disk. A timed-out stage lets through what is safe without it. Non-idempotent work has no
-timeout, because no amount of time proves that a record is complete.
+The module does no I/O. Times are in seconds since the start of the process. Waits cannot be circular, because
+a member needs only its own disk to answer other members. Once a stage has timed out, the services that are
+safe without it proceed. Non-idempotent work has no timeout, because no amount of time proves that a record is
+complete.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 class ReadinessStage(Enum):
     """The stages, in order: first the startup steps, then the services that depend on them."""
 
-    DISK = "disk"  # the log has been replayed and is writable
-    IDENTITY = "identity"  # this member's incarnation is durable
-    ENDPOINT_LIST = "list"  # discovery has sent its endpoint list
-    QUORUM = "group"  # a majority has recorded this incarnation; the others were given a short grace period
-    OPERATIONS_SETTLED = "settled"  # operations open in the previous incarnation have a durable end
+    DISK = "disk"  # The log has been replayed and is writable.
+    IDENTITY = "identity"  # This member's incarnation is durable.
+    ENDPOINT_LIST = "list"  # Discovery has sent its endpoint list.
+    QUORUM = "group"  # A majority has recorded this incarnation, and the others had a grace period.
+    OPERATIONS_SETTLED = "settled"  # Operations open in the previous incarnation have a durable end.
     LOCAL_READS = "reads near"
     READS = "reads"
     KEYED = "keyed"
@@ -35,8 +36,8 @@
 
     PENDING = "waiting"
     READY = "open"
-    TIMED_OUT = "past its limit"  # the condition does not hold; services that can do without it proceed
-    BLOCKED = "shut"  # stays so for this incarnation unless operators intervene
+    TIMED_OUT = "past its limit"  # The condition does not hold; services that are safe without it proceed.
+    BLOCKED = "shut"  # The stage stays unready for this incarnation unless operators intervene.
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +45,7 @@
     """A startup step that a service depends on."""
 
     stage: ReadinessStage
-    timeout_suffices: bool  # whether the service may proceed once the step has timed out
+    timeout_suffices: bool  # True if the service may proceed once the step has timed out
 
 
 STAGE_REQUIREMENTS: dict[ReadinessStage, tuple[StageRequirement, ...]] = {
@@ -73,12 +74,12 @@
     """Current condition of one stage."""
 
     status: ConditionStatus = ConditionStatus.PENDING
-    reason: str = ""  # why the stage is not ready
-    since: float = 0.0  # seconds since the start at which the status last changed
+    reason: str = ""  # reason why the stage is not ready; empty if it is
+    since: float = 0.0  # time of the last change of status, in seconds since the start
 
 
 class UnreadyStage(NamedTuple):
-    """A stage that is not ready, and why."""
+    """A stage that is not ready, with the reason."""
 
     stage: ReadinessStage
     reason: str
@@ -86,38 +87,38 @@
 
 @dataclass(slots=True)
 class ReadinessInputs:
-    """Observations that the stages are evaluated from; the owner keeps them up to date."""
+    """Observations from which the stages are evaluated; the owner of the instance updates them."""
 
     log_replayed: bool = False
-    unusable_reason: str = ""  # why the log cannot be opened for writing
+    unusable_reason: str = ""  # reason why the log cannot be opened for writing
     incarnation_durable: bool = False
     endpoint_list_received: bool = False
-    endpoint_list_known: bool = False  # received, or cached by an earlier incarnation
+    endpoint_list_known: bool = False  # True if a list was received, or cached by an earlier incarnation
     acknowledging_members: int = 0  # members, including this one, that have recorded this incarnation
-    silent_members: tuple[str, ...] = ()
+    silent_members: tuple[str, ...] = ()  # other members that are not alive
     unsettled_operations: int = 0
-    storage_fault: str = ""  # why nothing can be written any more
+    storage_fault: str = ""  # reason why writes fail
     storage_full: bool = False
     reachable_replicas: int = 0  # replica holders that are alive and have complete records
     required_replicas: int = 0  # replica holders that a quorum write needs
     incomplete_reason: IncompleteReason | None = None
     superseded_reason: str = ""
-    contesting_incarnation: int = 0  # a newer incarnation of this member, which may have ended
-    exposure_window_elapsed: bool = False  # attempts sent to a canary before the start are out of the window
-    votes_held_by: str = ""  # the operator who holds back votes
+    contesting_incarnation: int = 0  # newer incarnation of this member, which may have ended; 0 for none
+    exposure_window_elapsed: bool = False  # True once attempts from before the start are out of the window
+    votes_held_by: str = ""  # operator who holds this member's votes
 
     @property
     def disk_blocked_reason(self) -> str:
-        """Why the log cannot be written to; empty while it can."""
+        """Return the reason why the log cannot be written; empty while it can."""
         return self.unusable_reason or self.storage_fault
 
 
 @dataclass(slots=True)
 class Readiness:
-    """The conditions of all stages since one start."""
+    """The conditions of all stages of one start."""
 
     member_count: int
-    retries_marked: bool  # clients mark each attempt after an operation's first as a retry
+    retries_marked: bool  # True if clients mark each attempt after an operation's first as a retry
     timeouts: StartupTimeouts
     conditions: dict[ReadinessStage, StageCondition] = field(
         default_factory=lambda: {stage: StageCondition() for stage in ReadinessStage}
@@ -125,11 +126,11 @@
     quorum_since: float | None = None
 
     def is_ready(self, stage: ReadinessStage) -> bool:
-        """Whether this stage has been reached."""
+        """Return whether this stage is ready."""
         return self.conditions[stage].status is ConditionStatus.READY
 
     def evaluate(self, now: float, inputs: ReadinessInputs) -> list[ReadinessStage]:
-        """Evaluate all stages and return those whose status changed."""
+        """Evaluate all stages at `now`, in seconds since the start, and return those whose status changed."""
         before = {stage: condition.status for stage, condition in self.conditions.items()}
         self._evaluate_disk(now, inputs)
         self._evaluate_identity(now, inputs)
@@ -141,7 +142,7 @@
         return [stage for stage in ReadinessStage if self.conditions[stage].status is not before[stage]]
 
     def first_unready(self) -> UnreadyStage | None:
-        """The first stage that is not ready; None once all are."""
+        """Return the first stage that is not ready; None once all are ready."""
         for stage, condition in self.conditions.items():
             if condition.status is not ConditionStatus.READY:
                 return UnreadyStage(stage, condition.reason)
@@ -187,7 +188,7 @@
 
     def _evaluate_quorum(self, now: float, inputs: ReadinessInputs) -> None:
         stage = ReadinessStage.QUORUM
-        if self.is_ready(stage):  # a member lost after the start does not undo it
+        if self.is_ready(stage):  # The loss of a member after the start does not revoke the stage.
             return
         if inputs.acknowledging_members <= self.member_count // 2:
             self.quorum_since = None
@@ -234,7 +235,7 @@
         self._set(stage, now, ConditionStatus.PENDING if reason else ConditionStatus.READY, reason)
 
     def _service_pending_reason(self, stage: ReadinessStage, inputs: ReadinessInputs) -> str:
-        """Why a service is not ready although its requirements are met; empty where it is."""
+        """Return the reason why a service is not ready although its requirements are met; empty if it is."""
         if stage is ReadinessStage.LOCAL_READS and not inputs.endpoint_list_known:
             return "no server is known"
         if stage is ReadinessStage.NON_IDEMPOTENT:
--- a/frostfall/recovery/retry_after.py
+++ b/frostfall/recovery/retry_after.py
@@ -1,7 +1,8 @@
-"""Retry-After jitter: rejected clients are spread over a time that grows with their number. No clock.
+"""Retry-After jitter: the retries of rejected clients are spread over a time that grows with their number.
 
-After a power loss, the clients of a whole fleet reconnect at once. With one common delay they would return at
-once again; with a delay that does not grow, they would return faster than they can be served.
+After a power loss, all clients of a fleet reconnect at the same time. With one common delay they would all
+return at the same time again. With a delay that does not grow with their number, they would return faster
+than they can be served. The module reads no clock.
 """
 
 from __future__ import annotations
@@ -9,27 +10,27 @@
 import random
 from collections import deque
 
-MIN_SPREAD = 0.3  # seconds: the least mean delay
-MAX_SPREAD = 5.0  # seconds: the greatest mean delay
-MIN_JITTER = 0.5  # of the mean delay
-MAX_JITTER = 1.5  # of the mean delay
+MIN_MEAN_DELAY = 0.3  # seconds
+MAX_MEAN_DELAY = 5.0  # seconds
+MIN_JITTER = 0.5  # share of the mean delay
+MAX_JITTER = 1.5  # share of the mean delay
 COUNTING_WINDOW = 1.0  # seconds over which rejections are counted
 
 
 class RetryAfterJitter:
-    """Hands out the delays after which rejected clients may retry."""
+    """Computes the delays after which rejected clients may retry."""
 
     def __init__(self, rate: float, seed: int) -> None:
-        """`rate`: rejections per second up to which the least spread is used."""
+        """Use the minimum mean delay up to `rate` rejections a second, and seed the jitter with `seed`."""
         self._rate = rate
         self._random = random.Random(seed)
         self._rejected_at: deque[float] = deque()
 
     def next_delay(self, now: float) -> float:
-        """Seconds after which a client rejected at `now` may retry; `now` (seconds) must not decrease."""
+        """Return the delay in seconds for a client rejected at `now` (seconds, which must not decrease)."""
         self._rejected_at.append(now)
         while self._rejected_at[0] < now - COUNTING_WINDOW:
             self._rejected_at.popleft()
-        spread = MIN_SPREAD * len(self._rejected_at) / self._rate
-        bounded = min(max(spread, MIN_SPREAD), MAX_SPREAD)
-        return bounded * self._random.uniform(MIN_JITTER, MAX_JITTER)
+        unbounded = MIN_MEAN_DELAY * len(self._rejected_at) / self._rate
+        mean_delay = min(max(unbounded, MIN_MEAN_DELAY), MAX_MEAN_DELAY)
+        return mean_delay * self._random.uniform(MIN_JITTER, MAX_JITTER)
--- a/frostfall/replication/digest_tree.py
+++ b/frostfall/replication/digest_tree.py
@@ -1,10 +1,10 @@
-"""A digest tree over one owner's operations, by which two members find out what one of them is missing.
+"""Digest tree over one owner's operations, for finding the operations that a member is missing.
 
 The tree is a hash tree over prefixes of operation keys (Merkle, 1987). A node's digest is the sum of its
-entries instead of a hash of its children (AdHash: Bellare and Micciancio, 1997). Over sorted keys with
-running totals, the digest of any node is one subtraction, so nothing has to be maintained while operations
-come and go. Sums detect accidental differences, not an adversary. A replica whose absence they hide (one in
-2^48 a node) stays missing until the next round.
+entries instead of a hash of its children (AdHash: Bellare and Micciancio, 1997). With sorted keys and running
+totals, the digest of any node is one subtraction, so that no tree has to be updated when operations are added
+or removed. Sums detect accidental differences, but no adversary. With a probability of 2^-48 for a node, they
+hide that a replica is missing; it then stays missing until the next round.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 KEY_BITS = 64  # bits of an operation key
 KEY_BYTES = 8  # bytes of an operation key in a response
-BITS_PER_LEVEL = 4  # bits of a key that one level of the tree consumes
+BITS_PER_LEVEL = 4  # bits of the key for each level of the tree
 FANOUT = 16  # children of a node
 MAX_DEPTH = 15  # levels below the root that have digests of their own
-MAX_LEAF_ENTRIES = 16  # entries of a node that are fetched one by one instead of descending further
-MAX_BULK_ENTRIES = 2048  # the same limit where this member has no entry below the node
+MAX_LEAF_ENTRIES = 16  # entries up to which a node's entries are fetched instead of its children
+MAX_BULK_ENTRIES = 2048  # the same limit if this member has no entry below the node
 MAX_QUERY_NODES = 512  # nodes in one query
 
 _SUM_BYTES = 6  # bytes of a sum in a response
@@ -35,11 +35,11 @@
 _ENTRY_BYTES = KEY_BYTES + _STATE_BYTES  # bytes of an entry in a response
 _TOTAL_MASK = (1 << KEY_BITS) - 1  # running totals wrap at 64 bits
 _SUM_MASK = (1 << 8 * _SUM_BYTES) - 1  # sums are sent modulo 2^48
-_MAX_COUNT = (1 << 8 * _COUNT_BYTES) - 1  # larger counts are sent as this
+_MAX_COUNT = (1 << 8 * _COUNT_BYTES) - 1  # larger counts are sent as this number
 
 
 class DigestState(IntEnum):
-    """What members compare of an operation's state; the values are sent between members."""
+    """State of an operation as members compare it; the values are sent between members."""
 
     MAY_HAVE_RUN = 1
     SERVED = 2
@@ -56,7 +56,7 @@
 
 
 class TreeNode(NamedTuple):
-    """A node: all keys whose first `depth` groups of bits are `prefix`."""
+    """A node, which stands for all keys whose first `depth` groups of bits are `prefix`."""
 
     depth: int
     prefix: int
@@ -65,8 +65,8 @@
 class ChildDigest(NamedTuple):
     """The digest of one child of a node."""
 
-    total: int  # the sum of its entries, modulo 2^48
-    entries: int  # how many there are, at most 65,535
+    total: int  # sum of the entries, modulo 2^48
+    entries: int  # number of entries, at most 65,535
 
 
 class DigestEntry(NamedTuple):
@@ -77,10 +77,13 @@
 
 
 class DigestTree:
-    """Operation keys of one owner with their locations in this member's log; 24 bytes an operation."""
+    """Operation keys of one owner with their locations in this member's log.
+
+    Each operation takes 24 bytes.
+    """
 
     def __init__(self, locations: Mapping[int, int]) -> None:
-        """Take packed locations by the key of the owner's operation name, not of the replica's name."""
+        """Create a tree of packed locations by the key of the owner's operation name, not the replica's."""
         self._keys = array("Q", sorted(locations))
         self._locations = array("Q", (locations[key] for key in self._keys))
         self._totals = array("Q", (0,))
@@ -90,7 +93,7 @@
             self._totals.append(total)
 
     def with_added(self, states: Mapping[int, RecordState]) -> DigestTree:
-        """Return a tree that also has operations restored meanwhile; their locations are left empty."""
+        """Return a tree with these restored operations added; their locations are left empty."""
         locations = dict(zip(self._keys, self._locations))
         locations.update((key, pack_location(0, 0, state)) for key, state in states.items())
         return DigestTree(locations)
@@ -125,12 +128,12 @@
         return [DigestEntry(self._keys[at], _digest_state(self._locations[at])) for at in positions]
 
     def location(self, key: int) -> int:
-        """Return the packed location of a key's record; 0 where there is none."""
+        """Return the packed location of a key's record; 0 if there is none."""
         at = bisect_left(self._keys, key)
         return self._locations[at] if at < len(self._keys) and self._keys[at] == key else 0
 
     def lacks(self, key: int, state: int) -> bool:
-        """Return whether another member's entry tells more than this tree has."""
+        """Return whether this tree lacks another member's entry, or that entry's SERVED state."""
         location = self.location(key)
         if not location:
             return True
@@ -146,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestQuery:
-    """Asks for the digests of these nodes' children, or for all entries below them."""
+    """Query for the digests of these nodes' children, or for all entries below the nodes."""
 
     wants_entries: bool
     depth: int
@@ -154,19 +157,19 @@
 
     @property
     def nodes(self) -> Iterable[TreeNode]:
-        """The nodes that are asked about, all at one depth."""
+        """Return the queried nodes, which all have the same depth."""
         return (TreeNode(self.depth, prefix) for prefix in self.prefixes)
 
 
 def answer_query(tree: DigestTree, query: DigestQuery) -> bytes:
-    """Encode the response to a query; ValueError where it names nodes that the tree cannot have."""
+    """Encode the response to a query; raises ValueError if the query has nodes that no tree can have."""
     max_depth = MAX_DEPTH + 1 if query.wants_entries else MAX_DEPTH
     if (
         len(query.prefixes) > MAX_QUERY_NODES
         or not 0 <= query.depth <= max_depth
         or any(not 0 <= prefix < FANOUT**query.depth for prefix in query.prefixes)
     ):
-        raise ValueError("not a node of the tree")
+        raise ValueError("query has too many nodes, or nodes outside the tree")
     encoded: list[bytes] = []
     for node in query.nodes:
         if query.wants_entries:
@@ -193,23 +196,24 @@
 
 
 class TreeComparison:
-    """Finds the keys that another member's tree has and this member's lacks, with few queries.
+    """Finds the keys that another member's tree has and this member's tree lacks, with few queries.
 
-    Send what `next_query` gives and hand each response to `handle_response`, until there is no further query.
-    `missing_keys` grows meanwhile.
+    The caller sends the query returned by `next_query` and passes the response to `handle_response`, until
+    `next_query` returns None. `missing_keys` is filled in the process.
     """
 
     def __init__(self, own: DigestTree) -> None:
-        """Start at the root: nothing is known of the other tree."""
+        """Start the comparison at the root."""
         self._own = own
         self._inner_nodes = [TreeNode(0, 0)]  # nodes whose children's digests are still to be fetched
         self._leaf_nodes: list[TreeNode] = []  # nodes whose entries are still to be fetched
         self.missing_keys: list[int] = []
 
     def next_query(self) -> DigestQuery | None:
-        """Return the next query, of nodes at one depth; None where the comparison is complete."""
+        """Return the next query, for nodes at one depth; None if the comparison is complete."""
         if self._leaf_nodes:
-            # A node without an entry here may have as many as MAX_BULK_ENTRIES there: one at a time.
+            # The other tree may have MAX_BULK_ENTRIES entries below a node that has none here, so such nodes
+            # are queried one at a time.
             is_bulk = self._own.count(self._leaf_nodes[0]) == 0
             return self._take_query(self._leaf_nodes, True, 1 if is_bulk else MAX_QUERY_NODES)
         if self._inner_nodes:
@@ -217,7 +221,7 @@
         return None
 
     def _take_query(self, nodes: list[TreeNode], wants_entries: bool, limit: int) -> DigestQuery:
-        """Remove up to `limit` nodes of the first one's depth from a list and ask about them."""
+        """Remove up to `limit` nodes of the first node's depth from the list and return a query for them."""
         depth = nodes[0].depth
         taken = [node for node in nodes if node.depth == depth][:limit]
         taken_set = set(taken)
@@ -225,7 +229,7 @@
         return DigestQuery(wants_entries, depth, [node.prefix for node in taken])
 
     def handle_response(self, query: DigestQuery, data: bytes) -> None:
-        """Take in the response to a query; ValueError where its length does not fit the query."""
+        """Process the response to a query; raises ValueError if its length does not match the query."""
         if query.wants_entries:
             self._handle_entries(data)
         else:
@@ -233,7 +237,7 @@
 
     def _handle_entries(self, data: bytes) -> None:
         if len(data) % _ENTRY_BYTES:
-            raise ValueError("entries of another length")
+            raise ValueError("length is not a multiple of the entry size")
         for at in range(0, len(data), _ENTRY_BYTES):
             key = int.from_bytes(data[at : at + KEY_BYTES], "big")
             if self._own.lacks(key, data[at + KEY_BYTES]):
@@ -241,7 +245,7 @@
 
     def _handle_children(self, query: DigestQuery, data: bytes) -> None:
         if len(data) != _CHILD_BYTES * FANOUT * len(query.prefixes):
-            raise ValueError("sums of another length")
+            raise ValueError("length does not match the number of queried nodes")
         at = 0
         for node in query.nodes:
             for child_prefix, own in enumerate(self._own.children(node), node.prefix * FANOUT):
@@ -253,6 +257,6 @@
 
 
 def _is_leaf(node: TreeNode, own: ChildDigest, other: ChildDigest) -> bool:
-    """Whether a differing node's entries are fetched instead of its children's digests."""
+    """Return whether a differing node's entries are fetched instead of its children's digests."""
     max_entries = MAX_LEAF_ENTRIES if own.entries else MAX_BULK_ENTRIES
     return other.entries <= max_entries or node.depth >= MAX_DEPTH
--- a/frostfall/replication/operator_holds.py
+++ b/frostfall/replication/operator_holds.py
@@ -1,9 +1,9 @@
-"""Operators' holds on members, replicated to all members so that a hold outlives the disk of its member.
+"""Operators' holds on members' votes, replicated to all members so that a hold survives its member's disk.
 
-No I/O. Each hold has a serial number and is sent with every heartbeat. The other members write it down and
-echo with their own heartbeats what they have of it; a member that comes back with an older one takes it from
-them. A hold is replicated once so many others have it on disk that any majority which a start waits for has
-one of them.
+Each hold has a serial number and is sent with every heartbeat. The other members store it and echo it in
+their own heartbeats; a member that returns with an older hold takes over the newer one from them. A hold is
+replicated once enough other members have it on disk that any majority for which a start waits includes one of
+them. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class OperatorHold(NamedTuple):
-    """A member's hold; of two, the greater one is the newer."""
+    """A member's hold; the greater of two holds is the newer one."""
 
     serial: int
-    operator: str  # who holds; empty: the hold is lifted
+    operator: str  # operator who set the hold; empty if the hold is lifted
 
 
 class MergedHolds(NamedTuple):
-    """What a heartbeat changed, each to be written down; None where it changed nothing."""
+    """Holds that a heartbeat has changed and that have to be stored; None for an unchanged one."""
 
-    peer_hold: OperatorHold | None  # the sender's hold, newer than the one on disk here
-    own_hold: OperatorHold | None  # the receiver's own hold, of which the sender had a newer one
+    peer_hold: OperatorHold | None  # the sender's hold, if it is newer than the stored one
+    own_hold: OperatorHold | None  # the receiver's hold, if the sender had a newer one
 
 
 NO_HOLD = OperatorHold(0, "")
@@ -32,16 +32,18 @@
 
 @dataclass
 class OperatorHolds:
-    """What a member knows of its own hold and of the others'."""
+    """A member's own hold and the holds that it stores for its peers."""
 
     peers: frozenset[str]
     own_hold: OperatorHold = NO_HOLD
-    peer_holds: dict[str, OperatorHold] = field(default_factory=dict)  # by peer, as on disk here
-    acknowledged_serials: dict[str, int] = field(default_factory=dict)  # by peer, of the own hold on its disk
+    peer_holds: dict[str, OperatorHold] = field(default_factory=dict)  # stored holds by peer
+    acknowledged_serials: dict[str, int] = field(
+        default_factory=dict
+    )  # serial of the own hold on disk, by peer
 
     @property
     def required_acknowledgements(self) -> int:
-        """How many peers have to have a hold on disk before it is replicated."""
+        """Return the number of peers that must have a hold on disk for it to be replicated."""
         if not self.peers:
             return 0
         members = len(self.peers) + 1
@@ -50,29 +52,29 @@
 
     @property
     def is_replicated(self) -> bool:
-        """Whether the own hold outlives this member's disk."""
+        """Return whether the own hold survives the loss of this member's disk."""
         acknowledged = sum(serial >= self.own_hold.serial for serial in self.acknowledged_serials.values())
         return acknowledged >= self.required_acknowledgements
 
     def issue(self, operator: str) -> OperatorHold:
-        """Set a new hold, to be written down and sent once it is on disk; no operator: lift the hold."""
+        """Set a new hold, or lift it if `operator` is empty; it must be stored before it is sent."""
         self.own_hold = OperatorHold(self.own_hold.serial + 1, operator)
         return self.own_hold
 
     def restore(self, member: str, hold: OperatorHold) -> None:
-        """Take in a hold read from the log; an empty member name stands for this member."""
+        """Restore a hold read from the log; an empty `member` stands for this member."""
         if not member:
             self.own_hold = max(self.own_hold, hold)
         elif member in self.peers:
             self.peer_holds[member] = max(self.peer_holds.get(member, NO_HOLD), hold)
 
-    def merge_gossip(self, member: str, peer_hold: OperatorHold, echoed_hold: OperatorHold) -> MergedHolds:
-        """Take in a peer's own hold and the hold that it has on disk for this member."""
+    def merge_heartbeat(self, member: str, peer_hold: OperatorHold, echoed_hold: OperatorHold) -> MergedHolds:
+        """Merge a peer's own hold and the hold that it echoes for this member."""
         if member not in self.peers:
             return MergedHolds(None, None)
         self.acknowledged_serials[member] = echoed_hold.serial
-        # Two holds may have one serial, issued before and after a disk was lost. Comparing the operator too
-        # makes all members choose the same one.
+        # Two holds may have the same serial if they were issued before and after the loss of a disk. The
+        # comparison includes the operator, so that all members choose the same hold.
         newer_own_hold = echoed_hold if echoed_hold > self.own_hold else None
         if newer_own_hold:
             self.own_hold = newer_own_hold
@@ -80,7 +82,7 @@
         return MergedHolds(peer_hold if is_newer else None, newer_own_hold)
 
     def items(self) -> Iterable[tuple[str, OperatorHold]]:
-        """Yield all known holds by member, the own one under an empty name."""
+        """Yield all holds with their members; the own hold has an empty member name."""
         if self.own_hold != NO_HOLD:
             yield "", self.own_hold
         yield from self.peer_holds.items()
--- a/frostfall/replication/quorum_read.py
+++ b/frostfall/replication/quorum_read.py
@@ -1,10 +1,10 @@
-"""What the replicas of an owner's record tell of an operation, once those without a record are fenced.
+"""Quorum read: the outcome of an operation by its replicas, once holders without a record are fenced.
 
-A write was acknowledged by so many holders; a reader that reads enough of them, each fenced first, meets at
-least one of those (write and ack quorums, and fencing, after BookKeeper: Junqueira, Kelly and Reed, 2013).
-Fences are by operation and not by ledger, so that an owner that is only slow goes on with all its other
-operations. An intent that any holder has may have run: its owner may have had all acknowledgements, and
-nobody asks the server.
+A write is acknowledged by a write quorum of holders. A reader that reads a read quorum of them, each fenced
+first, reads at least one of these (write and ack quorums, and fencing, after BookKeeper: Junqueira, Kelly and
+Reed, 2013). Fences apply to an operation and not to a ledger, so that an owner that is only slow continues
+with all its other operations. An operation whose intent is at any holder may have run, because its owner may
+have received all acknowledgements, and the server is not queried.
 """
 
 from __future__ import annotations
@@ -15,7 +15,10 @@
 
 
 def resolve_outcome(results: Iterable[OperationResult], quorum: int) -> OperationResult | None:
-    """Combine the results of the holders that were read; None where fewer than `quorum` are authoritative."""
+    """Combine the results of the holders that were read.
+
+    Returns None if the operation is absent from all authoritative results, and these are fewer than `quorum`.
+    """
     authoritative = [result for result in results if result.status is not OperationStatus.INDETERMINATE]
     served = [result for result in authoritative if result.status is OperationStatus.SERVED]
     if served:
--- a/frostfall/replication/replica_store.py
+++ b/frostfall/replication/replica_store.py
@@ -1,8 +1,9 @@
-"""The replicas that a member stores for other members' operations, and its fences against their owners.
+"""Replicas of other members' operations in a member's log, and fences against the owners of operations.
 
-A replica is a record in the holder's own log, under a name that no client can give. A member that settles an
-operation whose owner cannot be asked fences it at the holders that have no record of it. From then on these
-holders acknowledge nothing of it to its owner, so that the outcome which was read stays true.
+A replica is a record in the holder's own log, under a name that clients cannot use. To settle an operation
+whose owner cannot be polled, a member fences the operation at the holders that have no record of it. From
+then on, these holders reject all updates of the operation from its owner, so that the outcome that was read
+stays valid.
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
 from frostfall.storage.segment_codec import Record, RecordState
 from frostfall.storage.write_ahead_log import WriteAheadLog, operation_key
 
-NAME_SEPARATOR = "\0"  # begins a replica's name and ends its owner's; no client's name may contain it
+# A replica's name is separator, owner, separator, operation. Names from clients cannot contain the separator.
+NAME_SEPARATOR = "\0"
 
 
 def replica_name(owner: str, name: str) -> str:
@@ -31,14 +33,14 @@
 
 
 class SplitName(NamedTuple):
-    """The parts of a name in a log."""
+    """Owner and operation of a name in a log."""
 
-    owner: str  # empty for the member's own operation
+    owner: str  # empty for an operation of the log's owner
     operation: str
 
 
 def split_replica_name(name: str) -> SplitName:
-    """Return owner and operation of a name in a log."""
+    """Split a name in a log into owner and operation."""
     if not is_replica_name(name):
         return SplitName("", name)
     _, owner, operation = name.split(NAME_SEPARATOR, 2)
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaUpdate:
-    """What an owner asks its holders to store: an operation's intent (OPEN) or its end."""
+    """Update that an owner sends to the holders of its replicas: an operation's intent (OPEN) or its end."""
 
     state: RecordState
     operation: str
@@ -61,14 +63,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaWrite:
-    """An accepted update: it is on disk once the log has synced `ticket` (0: nothing to wait for)."""
+    """An accepted update, which is on disk once the log has synced `ticket`.
+
+    A ticket of 0 means that there is nothing to wait for.
+    """
 
     ticket: int
-    retry_after_sync: bool = False  # not written yet: store it again once the ticket is on disk
+    retry_after_sync: bool = False  # True if it has to be stored again once the ticket is on disk
 
 
 class _StoredReplica(NamedTuple):
-    """A replica's record as the log has it."""
+    """A replica's record in the log."""
 
     state: RecordState
     payload: bytes
@@ -76,29 +81,32 @@
 
 
 def merge_states(found: RecordState | None, received: RecordState) -> RecordState | None:
-    """Return the state of a replica once another member's is merged in; None: it stays as it is."""
+    """Return a replica's state after merging in another member's; None if it does not change."""
     if found is received or found is RecordState.SERVED or received is RecordState.NOT_EXECUTED:
         return None
     if found is None or received is RecordState.SERVED:
         return received
     if RecordState.FENCED in (found, received):
-        # A fence alone would prove that the operation never ran, an intent alone would let it begin again.
+        # A fence without an intent would prove that the operation never ran; an intent without a fence would
+        # allow it to begin again.
         return RecordState.FAILED if found is not RecordState.FAILED else None
     return received if found is RecordState.OPEN else None
 
 
 class ReplicaStore:
-    """One member's replicas of other members' operations."""
+    """The replicas of other members' operations that one member holds."""
 
     def __init__(self, wal: WriteAheadLog, find_record: FindRecord) -> None:
         """Store replicas in this member's own log."""
         self._wal = wal
         self._find_record = find_record
-        self.open_tickets: dict[str, int] = {}  # by replica name: tickets of operations without an end
-        self._pending_fences: dict[str, int] = {}  # by replica name: tickets of fences not yet on disk
+        # Log tickets of operations without an end, by replica name.
+        self.open_tickets: dict[str, int] = {}
+        # Log tickets of fences that are not on disk yet, by replica name.
+        self._pending_fences: dict[str, int] = {}
 
     def store(self, owner: str, update: ReplicaUpdate) -> ReplicaWrite | None:
-        """Store an owner's update; None where the operation is fenced, or an intent came after its end."""
+        """Store an owner's update; None if the operation is fenced, or has ended and this is an intent."""
         name = replica_name(owner, update.operation)
         if name in self._pending_fences:
             return None
@@ -123,10 +131,10 @@
             return None
         self.open_tickets.pop(name, None)
         if found is None:
-            is_known = update.state is RecordState.NOT_EXECUTED
+            is_recorded = update.state is RecordState.NOT_EXECUTED
         else:
-            is_known = found.state in (update.state, RecordState.SERVED)
-        if is_known:
+            is_recorded = found.state in (update.state, RecordState.SERVED)
+        if is_recorded:
             return ReplicaWrite(0)
         answer = update.answer if update.state is RecordState.SERVED else b""
         return ReplicaWrite(self._append(name, update.state, answer, replaces=found))
@@ -134,9 +142,10 @@
     def restore(
         self, owner: str, state: RecordState, name: str, answer: bytes | None, age: int
     ) -> int | None:
-        """Merge in another member's replica, `age` seconds old; the ticket to wait for, 0 for no change.
+        """Merge in another member's replica, `age` seconds old; return the ticket to wait for.
 
-        None: not now, as the record that it would replace is not on disk yet.
+        Returns 0 if the replica does not change, and None if the merge has to be repeated later, because the
+        record that it would replace is not on disk yet.
         """
         full_name = replica_name(owner, name)
         if full_name in self._pending_fences or self._has_unsynced_intent(full_name):
@@ -159,7 +168,7 @@
         return ticket
 
     def read(self, owner: str, name: str) -> OperationResult:
-        """Return what the replica tells of an owner's operation; an open one may have run."""
+        """Return an operation's result by its replica; an operation without an end may have run."""
         full_name = replica_name(owner, name)
         if full_name in self.open_tickets:
             return OperationResult(OperationStatus.FAILED)
@@ -171,7 +180,10 @@
         return OperationResult(OperationStatus.FAILED)
 
     def fence(self, owner: str, name: str) -> int:
-        """Bar an operation without a record here from beginning; the ticket to wait for, 0 if it has one."""
+        """Fence an operation; return the ticket to wait for, 0 if the operation has a record here.
+
+        Its owner can then no longer begin the operation with this holder's acknowledgement.
+        """
         full_name = replica_name(owner, name)
         if full_name in self._pending_fences:
             return self._pending_fences[full_name]
@@ -180,12 +192,12 @@
         self._pending_fences[full_name] = self._append(full_name, RecordState.FENCED)
         return self._pending_fences[full_name]
 
-    def fence_synced(self, owner: str, name: str) -> None:
-        """Note that a fence is on disk, so that the log answers for it."""
+    def on_fence_synced(self, owner: str, name: str) -> None:
+        """Handle a fence that is on disk: from now on, the log has its record."""
         self._pending_fences.pop(replica_name(owner, name), None)
 
     def open_records(self) -> Iterable[Record]:
-        """Yield the open replicas that are on disk: a new segment of the log begins with them."""
+        """Yield the open replicas that are on disk; a new segment of the log begins with them."""
         for name, ticket in self.open_tickets.items():
             if ticket <= self._wal.durable_ticket and (found := self._find(name)):
                 yield Record(RecordState.OPEN, operation_key(name), encode_payload(name), found.location)
--- a/frostfall/storage/__init__.py
+++ b/frostfall/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Write-ahead log of operations and metadata in segments, decided without I/O; `net.log_writer` drives it."""
+"""Write-ahead log of operations and metadata in segments, without I/O; `net.log_writer` executes it."""
--- a/frostfall/storage/errors.py
+++ b/frostfall/storage/errors.py
@@ -4,15 +4,15 @@
 
 
 class StorageError(Exception):
-    """Base of all errors of the log."""
+    """Base class of all errors of the log."""
 
 
 class LogStateError(StorageError):
-    """A method was called in a state of the log that does not allow it: a fault of the caller."""
+    """A method was called in a state of the log that does not allow the call, which is a caller's fault."""
 
 
 class RecordMismatchError(StorageError, ValueError):
-    """The log holds something else at a location than the index says."""
+    """The record at a location of the log differs from the index."""
 
 
 class DirectoryInUseError(StorageError, OSError):
--- a/frostfall/storage/log_recovery.py
+++ b/frostfall/storage/log_recovery.py
@@ -1,4 +1,7 @@
-"""Recovery of the write-ahead log at a start: reads the segments and tells what is usable. No I/O."""
+"""Recovery of the write-ahead log at a start: reads the segments and determines whether they are usable.
+
+The module does no I/O: the caller passes a function that reads a segment.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +16,22 @@
 
 
 class LogCondition(Enum):
-    """State of the log as a start found it; the values are reported to operators."""
+    """Condition of the log at a start; the values are reported to operators."""
 
-    FRESH = "fresh"  # there was none: a first start, or a lost directory
+    FRESH = "fresh"  # There was no log: this is a first start, or the directory was lost.
     INTACT = "whole"
-    CORRUPTED = "damaged"  # something that was durable is missing or changed
-    FOREIGN_OWNER = "foreign"  # it belongs to another agent
-    NEWER_FORMAT = "newer"  # a later version of the program wrote it
+    CORRUPTED = "damaged"  # Durable data is missing or changed.
+    FOREIGN_OWNER = "foreign"  # The log belongs to another agent.
+    NEWER_FORMAT = "newer"  # A later version of the program wrote the log.
 
     @property
     def is_usable(self) -> bool:
-        """Whether the owner may go on writing here."""
+        """Return whether the owner may continue to write to the log."""
         return self in (LogCondition.FRESH, LogCondition.INTACT)
 
 
 class Truncation(NamedTuple):
-    """A segment to be shortened, and the bytes that stay."""
+    """A segment to be truncated, and the bytes that remain."""
 
     segment: int
     size: int
@@ -40,24 +43,24 @@
 
     started_at: float  # seconds of the owner's running time
     format_version: int
-    size: int = 0  # bytes that are durable
+    size: int = 0  # durable bytes
 
 
 @dataclass(slots=True)
 class RecoveredLog:
-    """What a start has found."""
+    """State of the log as a start has found it."""
 
-    store_id: str  # "" where none was found
+    store_id: str  # empty if none was found
     condition: LogCondition = LogCondition.FRESH
-    condition_reason: str = ""  # of a condition that is not usable
+    condition_reason: str = ""  # reason for an unusable condition
     previous_run_seconds: float = 0.0  # running time of earlier incarnations, as far as recorded
-    torn_bytes: int = 0  # of torn writes
+    torn_bytes: int = 0  # bytes of torn writes
     last_batch: int = 0
-    segments: dict[int, SegmentInfo] = field(default_factory=dict)  # those read, by number
-    current_segment: int = 0  # the newest one; 0 where there is none
-    oldest_segment: int = 1  # that is in use, by the newest header
-    truncation: Truncation | None = None  # of a torn write, due before the next segment
-    leftover_segments: list[int] = field(default_factory=list)  # not in use, and still to be removed
+    segments: dict[int, SegmentInfo] = field(default_factory=dict)  # the segments read, by number
+    current_segment: int = 0  # the newest segment; 0 if there is none
+    oldest_segment: int = 1  # the oldest segment in use, by the newest header
+    truncation: Truncation | None = None  # truncation of a torn write, due before the next segment
+    leftover_segments: list[int] = field(default_factory=list)  # unused segments that are to be removed
 
 
 class LogRecovery:
@@ -66,16 +69,16 @@
     def __init__(
         self, owner: str, store_id: str, index: RecordIndex, on_metadata: Callable[[bytes], None]
     ) -> None:
-        """`store_id` is the one that the segments have to have; "" for any."""
+        """Create a recovery into `index`; `store_id` is the id that the segments must have, empty for any."""
         self._owner = owner
         self._index = index
         self._on_metadata = on_metadata
         self.log = RecoveredLog(store_id)
 
     def run(self, segment_numbers: Sequence[int], read_segment: Callable[[int], bytes]) -> Iterator[None]:
-        """Fill `log` from the existing segments, oldest first, up to the first one that is unusable.
+        """Read the existing segments into `log`, oldest first, up to the first unusable one.
 
-        It yields after each segment, so that the progress can be shown.
+        The generator yields after each segment, so that the caller can report the progress.
         """
         log = self.log
         oldest = self._find_oldest_segment(segment_numbers, read_segment)
@@ -93,10 +96,10 @@
     def _find_oldest_segment(
         self, segment_numbers: Sequence[int], read_segment: Callable[[int], bytes]
     ) -> int:
-        """Return the oldest segment in use, by the header of the newest segment that has a record; 0 if none.
+        """Return the oldest segment in use, by the header of the newest segment with a record; 0 if none.
 
-        The removal of an older one may not be durable. It must not be read: if it is corrupted, the whole log
-        would count as corrupted.
+        Older segments may still exist if their removal did not become durable. They must not be read, because
+        a corrupted one would make the whole log count as corrupted.
         """
         for number in reversed(segment_numbers):
             scan = SegmentScan()
@@ -125,7 +128,7 @@
         if scan.end is SegmentEnd.CORRUPTED:
             self._mark_unusable(LogCondition.CORRUPTED, f"segment {number}: {scan.reason}")
         if header is None:
-            log.torn_bytes += len(raw)  # started and never reported as durable: as if it did not exist
+            log.torn_bytes += len(raw)  # The segment was never reported as durable, so it is ignored.
             return
         if header.owner != self._owner:
             log.condition = LogCondition.FOREIGN_OWNER
@@ -143,7 +146,7 @@
         log.segments[number] = SegmentInfo(header.elapsed_seconds, scan.format_version, scan.valid_bytes)
 
     def _check_continuity(self, number: int, header: SegmentHeader) -> None:
-        """Check that a segment follows the one read before it."""
+        """Check that a segment continues the previously read one."""
         log = self.log
         previous = log.current_segment
         if (
--- a/frostfall/storage/options.py
+++ b/frostfall/storage/options.py
@@ -1,4 +1,4 @@
-"""Options of the log: the key `store` of the operator file's section `group`."""
+"""Options for the log: the key `store` of the operator file's section `group`."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class StorageOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of the log's directory. The names of the fields are keys of the operator file."""
+    """Limits of the log's directory; the names of the fields are keys of the operator file."""
 
-    segment_bytes: int = 4 * 1024 * 1024  # size from which a segment is closed
-    folder_bytes: int = 1024 * 1024 * 1024  # size of all segments from which no unsafe work is admitted
-    keep: float = 86_400.0  # seconds of running time for which ended operations are remembered
-    answer_bytes: int = 4096  # a longer answer is not recorded: a retry is told only that it was served
+    segment_bytes: int = 4 * 1024 * 1024  # segment size from which a new segment is started
+    folder_bytes: int = 1024 * 1024 * 1024  # total size from which no non-idempotent work is admitted
+    keep: float = 86_400.0  # retention of ended operations, in seconds of running time
+    answer_bytes: int = 4096  # a longer answer is not stored; a retry then only learns that it was served
 
     def __post_init__(self) -> None:
-        """Check ranges and combinations; ValueError names the key."""
+        """Check ranges and combinations; raises ValueError naming the key."""
         if not MIN_SEGMENT_BYTES <= self.segment_bytes <= MAX_SEGMENT_BYTES:
             raise ValueError(
                 f"segment_bytes: {self.segment_bytes} is not from {MIN_SEGMENT_BYTES} to {MAX_SEGMENT_BYTES}"
--- a/frostfall/storage/record_index.py
+++ b/frostfall/storage/record_index.py
@@ -1,9 +1,10 @@
 """Index of operation keys to locations in the log: an open-addressing hash table in two flat arrays.
 
-It takes 23 to 46 bytes a key; a dict takes over twice as much (`frostfall bench power-loss` measures both).
-Linear probing after Knuth, The Art of Computer Programming 3, section 6.4, algorithm L. Keys are hashes of 64
-bits, as consecutive keys would cluster. Two operations may share a key: each has a slot of its own, and a
-lookup returns all of them, for the caller to compare the names in the log.
+The index takes 23 to 46 bytes a key, and a dict more than twice as much (`frostfall bench power-loss` prints
+both). It uses linear probing (Knuth, The Art of Computer Programming, volume 3, section 6.4, algorithm L).
+Keys are 64-bit hashes, because consecutive keys would cluster. Two operations may have the same key: each has
+a slot of its own, and a lookup returns the locations of both, so that the caller compares the names in the
+log.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from frostfall.storage.segment_codec import ANY_LOCATION, RecordState
 
 MIN_SLOTS = 1 << 10
-MAX_LOAD_FACTOR = 0.7  # share of the slots, tombstones included, from which the table is rebuilt
-REBUILD_HEADROOM = 1.2  # a rebuild after a removal leaves room for so many times the entries
+MAX_LOAD_FACTOR = 0.7  # share of used slots, tombstones included, from which the table is rebuilt
+REBUILD_HEADROOM = 1.2  # capacity after a rebuild for a removal, as a multiple of the entries
 
 _STATE_BITS = 3
 _OFFSET_BITS = 32
@@ -24,18 +25,20 @@
 _STATE_MASK = (1 << _STATE_BITS) - 1
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
 
-_RECORD_STATES = tuple(sorted(RecordState))  # by value; a call of the enum takes several times as long
+_RECORD_STATES = tuple(
+    sorted(RecordState)
+)  # indexed by value, which is several times as fast as a call of the enum
 
-# Contents of a slot without an entry. A packed location is larger, as segments are numbered from 1.
+# Contents of a slot without an entry. Packed locations are larger, because segments are numbered from 1.
 _EMPTY = 0
 _TOMBSTONE = 1
 
 
 class RecordLocation(NamedTuple):
-    """Where a record is in the log, and its state."""
+    """Location of a record in the log, and its state."""
 
     segment: int
-    offset: int  # bytes from the beginning of the segment
+    offset: int  # bytes from the start of the segment
     state: RecordState
 
 
@@ -45,7 +48,7 @@
 
 
 def unpack_location(location: int) -> RecordLocation:
-    """Unpack what `pack_location` has packed."""
+    """Unpack a location that `pack_location` has packed."""
     return RecordLocation(
         location >> _SEGMENT_SHIFT,
         (location >> _STATE_BITS) & _OFFSET_MASK,
@@ -54,7 +57,7 @@
 
 
 class RecordIndex:
-    """Keys of 64 bits, each with one or more packed locations."""
+    """Multimap from 64-bit keys to packed locations."""
 
     __slots__ = ("_count", "_keys", "_locations", "_mask", "_used_slots")
 
@@ -67,7 +70,7 @@
         return self._count
 
     def get(self, key: int) -> list[int]:
-        """Return all packed locations of a key, most often none or one."""
+        """Return all packed locations of a key; most keys have none or one."""
         keys, locations, mask = self._keys, self._locations, self._mask
         found = []
         slot = key & mask
@@ -97,7 +100,7 @@
         self._count += 1
 
     def replace(self, key: int, current: int, replacement: int) -> bool:
-        """Replace one location of a key; False where the key does not have it."""
+        """Replace one location of a key; return False if the key does not have it."""
         keys, locations, mask = self._keys, self._locations, self._mask
         slot = key & mask
         while (location := locations[slot]) != _EMPTY:
@@ -108,14 +111,17 @@
         return False
 
     def remove(self, key: int, location: int) -> bool:
-        """Remove one location of a key; False where the key does not have it."""
+        """Remove one location of a key; return False if the key does not have it."""
         if not self.replace(key, location, _TOMBSTONE):
             return False
         self._count -= 1
         return True
 
     def apply(self, state: RecordState, key: int, previous: int, location: int) -> None:
-        """Put a record's location in place of the previous one of its key, which may be 0 or ANY_LOCATION."""
+        """Apply a record that replaces its key's previous location, which may be 0 (none) or ANY_LOCATION.
+
+        A NOT_EXECUTED record removes the previous location without adding its own.
+        """
         if previous == ANY_LOCATION:
             previous = next(iter(self.get(key)), 0)
         if state == RecordState.NOT_EXECUTED:
@@ -125,36 +131,36 @@
             self.add(key, location)
 
     def remove_before(self, segment: int) -> int:
-        """Remove all locations in segments before this one, and return how many there were."""
-        first_kept = segment << _SEGMENT_SHIFT
+        """Remove all locations in segments before this one and return their number."""
+        min_location = segment << _SEGMENT_SHIFT
         old_count = self._count
         keys, locations = self._keys, self._locations
-        self._count = sum(1 for location in locations if location >= first_kept)
+        self._count = sum(1 for location in locations if location >= min_location)
         slots = MIN_SLOTS
         while slots * MAX_LOAD_FACTOR <= self._count * REBUILD_HEADROOM:
             slots *= 2
-        self._rebuild(keys, locations, slots, first_kept)
+        self._rebuild(keys, locations, slots, min_location)
         return old_count - self._count
 
     def _allocate(self, slots: int) -> None:
         self._keys = array("Q", (0,)) * slots
         self._locations = array("Q", (0,)) * slots
         self._mask = slots - 1
-        self._used_slots = 0  # tombstones included
+        self._used_slots = 0  # includes tombstones
 
     def _grow(self) -> None:
-        """Rebuild without tombstones, in twice the slots unless most of the used ones were tombstones."""
+        """Rebuild without tombstones, with twice the slots unless most used slots were tombstones."""
         slots = self._mask + 1
         if self._count > slots * MAX_LOAD_FACTOR / 2:
             slots *= 2
         self._rebuild(self._keys, self._locations, slots, _TOMBSTONE + 1)
 
-    def _rebuild(self, keys: array[int], locations: array[int], slots: int, first_kept: int) -> None:
-        """Insert the locations from `first_kept` on into a new table of so many slots."""
+    def _rebuild(self, keys: array[int], locations: array[int], slots: int, min_location: int) -> None:
+        """Insert the locations from `min_location` on into a new table with this number of slots."""
         self._allocate(slots)
         new_keys, new_locations, mask = self._keys, self._locations, self._mask
         for key, location in zip(keys, locations):
-            if location >= first_kept:
+            if location >= min_location:
                 slot = key & mask
                 while new_locations[slot] != _EMPTY:
                     slot = (slot + 1) & mask
--- a/frostfall/storage/segment_codec.py
+++ b/frostfall/storage/segment_codec.py
@@ -4,9 +4,9 @@
     frame    = marker, u32 length, u8 kind, u64 number, u32 crc(kind, number, payload), payload
     batch    = record*;   record = u32 length, u8 state, u64 key, u64 previous location or 0, payload
 
-All integers are little endian. Batches are numbered without a gap across all segments. A batch is written
-only after the previous one has been synced, and is followed by a SYNCED frame with its number, which is not
-synced itself. A bad frame that has a valid frame behind it was therefore intact once: it is corruption, not a
+All integers are little-endian. Batches are numbered without gaps across all segments. A batch is written only
+after the previous one has been synced, and is followed by a SYNCED frame with its number, which is not synced
+itself. An invalid frame with a valid frame after it was therefore intact before: it is corruption, and not a
 torn write.
 """
 
@@ -22,7 +22,7 @@
 from crc32c import crc32c
 
 FORMAT_VERSION = 2
-# Version 1 has no previous location in its records and no store id in its headers.
+# Format version 1 has no previous location in its records and no store id in its headers.
 OLDEST_FORMAT_VERSION = 1
 SEGMENT_MAGIC = b"FFLG"
 FRAME_MARKER = b"\xf5\x1e"
@@ -30,15 +30,16 @@
 FRAME_HEADER = struct.Struct("<2sIBQI")
 RECORD_HEADER = struct.Struct("<IBQQ")
 RECORD_HEADER_V1 = struct.Struct("<IBQ")
-# Previous location of all records of format version 1: whichever the key has. No real location equals it.
+# Previous location of all records of format version 1, which replace any location of their key. No packed
+# location has this value.
 ANY_LOCATION = 1
-MAX_PAYLOAD_BYTES = 1 << 26  # of one frame
+MAX_PAYLOAD_BYTES = 1 << 26  # maximum for one frame
 
-_CHECKSUMMED_FIELDS = struct.Struct("<BQ")  # kind and number of a frame
+_CHECKSUMMED_FIELDS = struct.Struct("<BQ")  # a frame's kind and number
 
 
 class FrameKind(IntEnum):
-    """Kinds of frames, as stored."""
+    """Kind of a frame; the values are stored."""
 
     HEADER = 1
     BATCH = 2
@@ -46,27 +47,31 @@
 
 
 class RecordState(IntEnum):
-    """What a record says of its key, as stored. METADATA has no key and is handed to the owner as it is."""
+    """State of a record's key; the values are stored.
+
+    METADATA records have no key, and their payload is passed to the log's owner unchanged.
+    """
 
     METADATA = 0
-    OPEN = 1  # started, outcome not recorded yet
-    SERVED = 2  # ended with an answer
-    FAILED = 3  # ended with an error, and may have been executed
-    NOT_EXECUTED = 4  # ended without having been executed: as if it had never started
-    OUTCOME_UNKNOWN = 5  # open when its owner's incarnation ended: it may have been executed
-    FENCED = 6  # on a replica: a quorum has settled that it never started, and its owner must not start it
+    OPEN = 1  # The operation was begun, and its outcome is not recorded yet.
+    SERVED = 2  # The operation ended with an answer.
+    FAILED = 3  # The operation ended with an error, and may have run.
+    NOT_EXECUTED = 4  # The operation ended without having run, as if it had never begun.
+    OUTCOME_UNKNOWN = 5  # The operation was open when its owner's incarnation ended, and may have run.
+    # A quorum has settled that the operation never began, and its owner must not begin it (replicas only).
+    FENCED = 6
 
 
 class SegmentHeader(msgspec.Struct, frozen=True):
-    """Payload of a segment's first frame; the names of its fields are stored."""
+    """Payload of a segment's first frame; the encoded names of its fields are stored."""
 
     owner: str
     segment: int
-    oldest_segment: int = msgspec.field(name="first")  # still in use when this one was started
+    oldest_segment: int = msgspec.field(name="first")  # oldest segment in use when this one was started
     first_batch: int = msgspec.field(name="batch")
-    # Seconds that the owner had run, summed over its incarnations, when the segment was started.
+    # Running time of the owner, summed over its incarnations, at the segment's start, in seconds.
     elapsed_seconds: float = msgspec.field(name="elapsed")
-    store_id: str = msgspec.field(name="store", default="")  # random, made once for each directory
+    store_id: str = msgspec.field(name="store", default="")  # random id of the directory
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,11 +81,11 @@
     state: RecordState
     key: int
     payload: bytes
-    previous_location: int = 0  # packed location of the record that this one replaces, or 0
+    previous_location: int = 0  # packed location of the record that this one replaces; 0 for none
 
 
 class DecodedRecord(NamedTuple):
-    """A record read back at a known offset."""
+    """A record decoded at a given offset."""
 
     state: RecordState
     key: int
@@ -96,19 +101,19 @@
 
 
 class EncodedBatch(NamedTuple):
-    """A batch as a frame, with the offset in it of each record."""
+    """A batch encoded as a frame, with each record's offset in the frame."""
 
     data: bytes
     record_offsets: list[int]
 
 
 class SegmentEnd(IntEnum):
-    """How the content of a segment ends."""
+    """State of the end of a segment."""
 
     COMPLETE = 0
-    TORN = 1  # the last write was interrupted, and had never been reported as durable
-    CORRUPTED = 2  # something that was durable is missing or changed
-    NEWER_FORMAT = 3  # written in a format version that this program does not know
+    TORN = 1  # The last write was interrupted, and was never reported as durable.
+    CORRUPTED = 2  # Durable data is missing or changed.
+    NEWER_FORMAT = 3  # The segment has a format version that this program does not support.
 
 
 @dataclass(slots=True)
@@ -118,20 +123,21 @@
     header: SegmentHeader | None = None
     format_version: int = FORMAT_VERSION
     end: SegmentEnd = SegmentEnd.COMPLETE
-    reason: str = ""  # of an end other than COMPLETE
-    valid_bytes: int = 0  # length of the prefix that is intact
-    last_batch: int = 0  # number of the last valid batch; one less than the first where there is none
+    reason: str = ""  # reason for an end other than COMPLETE
+    valid_bytes: int = 0  # length of the intact prefix
+    # Number of the last valid batch; one less than the header's first batch if there is none.
+    last_batch: int = 0
     batch_count: int = 0
-    last_synced_batch: int = 0  # highest batch that a SYNCED frame names
+    last_synced_batch: int = 0  # last batch with a SYNCED frame
 
     def finish(self, end: SegmentEnd, reason: str) -> None:
-        """Record how the segment ends, other than COMPLETE."""
+        """Record an end of the segment other than COMPLETE."""
         self.end = end
         self.reason = reason
 
 
-# State (as a plain integer), key, previous location, offset in the segment, payload. A plain tuple, as a
-# start reads every record of the log.
+# State (as a plain integer), key, previous location, offset in the segment, payload. It is a plain tuple for
+# speed, because a start reads every record of the log.
 ScannedRecord = tuple[RecordState, int, int, int, memoryview]
 RecordVisitor = Callable[[RecordState, int, int, int, memoryview], None]
 
@@ -143,7 +149,7 @@
 
 
 def encode_segment_start(header: SegmentHeader) -> bytes:
-    """Encode the preamble and header frame that a segment begins with."""
+    """Encode the preamble and the header frame of a segment."""
     preamble = PREAMBLE.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0)
     return preamble + encode_frame(FrameKind.HEADER, header.segment, msgspec.msgpack.encode(header))
 
@@ -164,7 +170,7 @@
 
 
 def decode_frame(data: memoryview, offset: int) -> Frame | None:
-    """Decode the frame at an offset; None where there is no complete frame with a valid checksum."""
+    """Decode the frame at an offset; None if there is no complete frame with a valid checksum."""
     if offset + FRAME_HEADER.size > len(data):
         return None
     marker, length, kind, number, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -178,7 +184,7 @@
 
 
 def decode_record(raw: bytes, format_version: int = FORMAT_VERSION) -> DecodedRecord | None:
-    """Decode the record that `raw` begins with; None where it holds no complete one."""
+    """Decode the record at the start of `raw`; None if it is incomplete or has an unknown state."""
     header = _record_header(format_version)
     if len(raw) < header.size:
         return None
@@ -191,8 +197,8 @@
 def scan_segment(raw: bytes, is_last: bool, visit: RecordVisitor) -> SegmentScan:
     """Read a segment and pass its records to `visit` in order.
 
-    `is_last` says that no later segment exists, so that its last write may be torn. Records in front of a
-    torn or corrupted place have been visited when this returns.
+    `is_last` states that no later segment exists, so that the last write of this one may be torn. Records
+    before a torn or corrupted frame are visited too.
     """
     scan = SegmentScan()
     for record in iter_records(raw, is_last, scan):
@@ -201,7 +207,7 @@
 
 
 def iter_records(raw: bytes, is_last: bool, scan: SegmentScan) -> Iterator[ScannedRecord]:
-    """Yield the records of a segment in order; `scan` is filled on the way. See `scan_segment`."""
+    """Yield the records of a segment in order and fill `scan`. See `scan_segment`."""
     data = memoryview(raw)
     offset = _scan_header(data, is_last, scan)
     if scan.header is None:
@@ -229,7 +235,7 @@
 
 
 def iter_batch_records(payload: memoryview, base_offset: int, format_version: int) -> Iterator[ScannedRecord]:
-    """Yield the records of a batch frame's payload, which begins at `base_offset` of its segment."""
+    """Yield the records of a batch frame's payload, which starts at `base_offset` in the segment."""
     header = _record_header(format_version)
     unpack = header.unpack_from
     size = header.size
@@ -246,7 +252,7 @@
 
 
 def _has_valid_frame_after(data: memoryview, offset: int) -> bool:
-    """Whether a valid frame begins anywhere behind this offset."""
+    """Return whether a valid frame starts anywhere after this offset."""
     remainder = bytes(data[offset + 1 :])
     position = remainder.find(FRAME_MARKER)
     while position >= 0:
@@ -257,7 +263,7 @@
 
 
 def _scan_header(data: memoryview, is_last: bool, scan: SegmentScan) -> int:
-    """Read preamble and header and return the offset behind them; an unusable header stays None in `scan`."""
+    """Read preamble and header and return the offset after them; `scan.header` stays None if unusable."""
     if len(data) >= PREAMBLE.size:
         magic, version, reserved = PREAMBLE.unpack_from(data)
         if magic == SEGMENT_MAGIC and version > FORMAT_VERSION:
@@ -274,17 +280,17 @@
                     scan.finish(SegmentEnd.CORRUPTED, f"header: {error}")
                     return 0
                 return PREAMBLE.size + FRAME_HEADER.size + len(frame.payload)
-    # A segment is reported as durable together with its header, so only the last one may still lack it.
+    # A segment is reported as durable together with its header, so only the last segment may lack its header.
     is_torn = is_last and not _has_valid_frame_after(data, -1)
     scan.finish(SegmentEnd.TORN if is_torn else SegmentEnd.CORRUPTED, "no header that can be read")
     return 0
 
 
 def _classify_bad_frame(scan: SegmentScan, data: memoryview, offset: int, is_last: bool) -> None:
-    """Tell a torn write from corruption."""
+    """Classify an invalid frame as a torn write or as corruption."""
     remaining = len(data) - offset
-    # The SYNCED frame behind a segment's last batch is not synced, and may be torn even though later segments
-    # exist. Whether more than that is missing shows in the number of the next segment's first batch.
+    # The SYNCED frame after a segment's last batch is not synced, so it may be torn even if later segments
+    # exist. The first batch number of the next segment reveals a loss of more than this frame.
     may_be_torn = is_last or remaining <= FRAME_HEADER.size
     if may_be_torn and not _has_valid_frame_after(data, offset):
         scan.finish(SegmentEnd.TORN, f"{remaining} bytes of a write that did not go through")
--- a/frostfall/storage/write_ahead_log.py
+++ b/frostfall/storage/write_ahead_log.py
@@ -1,10 +1,10 @@
-"""Write-ahead log of one owner: what is written next, what is durable, which segments are in use. No I/O.
+"""Write-ahead log of one owner: the next write, the durable records and the segments in use, without I/O.
 
 The driver takes a `SegmentWrite`, executes it in the order of its fields, and reports `write_synced` or
-`write_failed`. There is one write at a time; records appended meanwhile go out together with the next one
-(group commit). A segment is removed as a whole once everything in it is older than the retention: ended
-operations are never copied. What has to stay (metadata, open operations and those of unknown outcome) is
-little, and every new segment begins with it.
+`write_failed`. There is one write at a time; records appended meanwhile are written together with the next
+one (group commit). A segment is removed as a whole once all its records are older than the retention, so that
+ended operations are never copied. The records that must be retained (metadata, open operations and those of
+unknown outcome) are few, and every new segment begins with them.
 """
 
 from __future__ import annotations
@@ -27,26 +27,29 @@
     SegmentHeader,
 )
 
-SEGMENTS_PER_RETENTION = 8  # at least, so that expired records are removed in time
-MAX_BATCH_BYTES = 1024 * 1024  # of payload in one write; the rest waits for the next one
+SEGMENTS_PER_RETENTION = 8  # minimum number, so that expired records are removed in time
+MAX_BATCH_BYTES = 1024 * 1024  # payload size from which further records wait for the next write
 
 
 def operation_key(name: str) -> int:
-    """Return the key of an operation's name: a hash of 64 bits, which two names may share."""
+    """Return the key of an operation's name: a 64-bit hash, which may be the same for two names."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "little")
 
 
 @dataclass(slots=True)
 class SegmentWrite:
-    """Steps for the driver, in this order. A step that fails is reported by `WriteAheadLog.write_failed`."""
+    """A write for the driver, whose steps are executed in the order of the fields.
+
+    The driver reports a failed step by `WriteAheadLog.write_failed`.
+    """
 
     segment: int
     data: bytes
-    truncate: Truncation | None = None  # done and synced before anything is written
-    # The segment is new: an old file of its name is overwritten, and the directory is synced too.
+    truncate: Truncation | None = None  # to be executed and synced before anything is written
+    # True if the segment is new: an existing file is overwritten, and the directory is synced too.
     starts_segment: bool = False
-    unsynced_data: bytes = b""  # written after the sync, and not synced itself
-    obsolete_segments: list[int] = field(default_factory=list)  # to be removed
+    unsynced_data: bytes = b""  # data to be written after the sync, and not to be synced
+    obsolete_segments: list[int] = field(default_factory=list)  # segments to be removed
 
 
 @dataclass(slots=True)
@@ -55,45 +58,43 @@
 
     write: SegmentWrite
     records: list[Record]
-    offsets: list[int]  # of the records in their segment
+    offsets: list[int]  # offsets of the records in their segment
     last_ticket: int
     new_segment: SegmentInfo | None
-    taken: list[Record]  # of the records, those that were queued
+    dequeued_records: list[Record]  # the records without the carried ones
 
 
 class WriteAheadLog:
-    """Log of one owner."""
+    """Write-ahead log of one owner."""
 
     def __init__(
         self, owner: str, options: StorageOptions, carried_records: Callable[[], Iterable[Record]] = tuple
     ) -> None:
-        """Create an empty log; `carried_records` returns what a new segment has to begin with."""
+        """Create an empty log; `carried_records` returns the records that a new segment begins with."""
         self.owner = owner
         self.options = options
         self.index = RecordIndex()
         self.condition = LogCondition.FRESH
-        self.condition_reason = ""  # of a condition that is not usable
-        self.store_id = ""  # random, made once for each directory
+        self.condition_reason = ""  # reason for an unusable condition
+        self.store_id = ""  # random id, created once for each directory
         self.previous_run_seconds = 0.0  # running time of earlier incarnations, as far as recorded
-        self.last_batch = 0  # handed to the driver
+        self.last_batch = 0  # last batch passed to the driver
         self.last_durable_batch = 0
         self.durable_ticket = 0
-        self.failure_reason = ""  # why nothing becomes durable until a later write succeeds
-        self.torn_bytes = 0  # of torn writes that the start found
+        self.failure_reason = ""  # reason why nothing becomes durable until a later write succeeds
+        self.torn_bytes = 0  # bytes of torn writes found at the start
         self.carried_records = carried_records
         self._queue: deque[Record] = deque()
-        self._last_ticket = 0  # appended
-        self._last_taken_ticket = 0  # handed to the driver
+        self._last_ticket = 0  # ticket of the last appended record
+        self._last_dequeued_ticket = 0  # ticket of the last record passed to the driver
         self._in_flight: _WriteInFlight | None = None
-        self._retries_failure = False  # the next write is the one that may end a failure
+        self._retries_failure = False  # True if the next write is the retry after a failure
         self._segments: dict[int, SegmentInfo] = {}
         self._current_segment = 0
-        self._owns_current_segment = False  # started by this incarnation, so that it may append to it
-        self._truncation: Truncation | None = None  # of a torn write, due before the next segment
-        self._retired_through = 0  # segments up to this one are removed when the next one starts
-        self._leftover_segments: list[int] = []  # not in use, and still to be removed
-
-    # ---- recovery at a start -----------------------------------------------------------------------
+        self._owns_current_segment = False  # True if this log started the segment and may append to it
+        self._truncation: Truncation | None = None  # truncation of a torn write, due before the next segment
+        self._retired_through = 0  # last of the segments that are removed when the next one starts
+        self._leftover_segments: list[int] = []  # unused segments that are to be removed
 
     def recover(
         self,
@@ -103,20 +104,20 @@
     ) -> None:
         """Read the existing segments, oldest first, and set `condition`.
 
-        `on_metadata` is called with each metadata record. Reading stops at the first segment that is
-        unusable; what was read before it is kept in the index all the same.
+        `on_metadata` is called with each metadata record. Reading stops at the first unusable segment, and
+        the index retains the records that were read before it.
         """
         recovery = LogRecovery(self.owner, self.store_id, self.index, on_metadata)
         try:
             for _ in recovery.run(segment_numbers, read_segment):
-                self._adopt(recovery.log)  # operators see how far the reading has come
+                self._apply_recovered(recovery.log)  # Operators see the progress of the recovery.
         finally:
-            # What was found is reported to operators even if a segment could not be read.
-            self._adopt(recovery.log)
+            # The results are reported to operators even if a segment could not be read.
+            self._apply_recovered(recovery.log)
         self.last_durable_batch = self.last_batch
         self._release_segments([each for each in self._segments if each < recovery.log.oldest_segment])
 
-    def _adopt(self, recovered: RecoveredLog) -> None:
+    def _apply_recovered(self, recovered: RecoveredLog) -> None:
         self.condition = recovered.condition
         self.condition_reason = recovered.condition_reason
         self.store_id = recovered.store_id
@@ -129,66 +130,62 @@
         self._leftover_segments = recovered.leftover_segments
 
     def _release_segments(self, numbers: list[int]) -> None:
-        """Stop using these segments; their files are removed with the next segment's start."""
+        """Stop using these segments; their files are removed when the next segment starts."""
         self._leftover_segments += numbers
         for number in numbers:
             self._segments.pop(number, None)
         if numbers:
             self.index.remove_before(min(self._segments, default=self._current_segment + 1))
 
-    # ---- segments ----------------------------------------------------------------------------------
-
     @property
     def total_bytes(self) -> int:
-        """Durable bytes of all segments in use."""
+        """Return the durable bytes of all segments in use."""
         return sum(segment.size for segment in self._segments.values())
 
     @property
     def segment_count(self) -> int:
-        """Number of segments in use."""
+        """Return the number of segments in use."""
         return len(self._segments)
 
     @property
     def is_full(self) -> bool:
-        """Whether the log has reached the operators' bound."""
+        """Return whether the log has reached its configured size limit."""
         return self.total_bytes >= self.options.folder_bytes
 
     @property
     def segment_numbers(self) -> list[int]:
-        """Segments in use, oldest first; the last one is being written."""
+        """Return the segments in use, oldest first; the last one is the current segment."""
         return sorted(self._segments)
 
     def segment_size(self, segment: int) -> int:
-        """Return the durable bytes of a segment; 0 where it is not in use."""
+        """Return the durable bytes of a segment; 0 if it is not in use."""
         info = self._segments.get(segment)
         return info.size if info else 0
 
     def max_record_age(self, segment: int, elapsed: float) -> float:
-        """Return the highest age of a segment's records, in seconds of running time, at `elapsed` seconds."""
+        """Return the maximum age of a segment's records at `elapsed`, both in seconds of running time."""
         info = self._segments.get(segment)
         return max(elapsed - (info.started_at if info else 0.0), 0.0)
 
     def format_version_of(self, segment: int) -> int:
-        """Return the format version in which a segment is written."""
+        """Return the format version of a segment."""
         info = self._segments.get(segment)
         return info.format_version if info else segment_codec.FORMAT_VERSION
 
     def retire_through(self, segment: int) -> None:
-        """Remove all segments up to this one with the next write: their records have been written again."""
+        """Remove all segments up to this one with the next write, as their records have been rewritten."""
         self._retired_through = segment
 
-    # ---- records -----------------------------------------------------------------------------------
-
     def is_current(self, key: int, location: int) -> bool:
-        """Whether the record at this packed location is one that the index has for its key."""
+        """Return whether the index has this packed location for the key."""
         return location in self.index.get(key)
 
     def find_locations(self, key: int) -> list[RecordLocation]:
-        """Return the durable records of a key; the caller compares the names."""
+        """Return the locations of a key's durable records; the caller compares the names."""
         return [unpack_location(location) for location in self.index.get(key)]
 
     def discard_unreadable(self, segment: int, offset: int) -> int:
-        """Drop a segment's records from this offset on from the index, and return how many there were."""
+        """Remove a segment's records from this offset on from the index and return their number."""
         unreadable = []
         for key, packed in self.index.items():
             location = unpack_location(packed)
@@ -199,44 +196,44 @@
         return len(unreadable)
 
     def append(self, record: Record) -> int:
-        """Queue a record for the next write; returns the ticket that `durable_ticket` reaches with it."""
+        """Queue a record; return its ticket, which `durable_ticket` reaches once the record is durable."""
         self._last_ticket += 1
         self._queue.append(record)
         return self._last_ticket
 
-    # ---- writing -----------------------------------------------------------------------------------
-
     def next_write(self, elapsed: float) -> SegmentWrite | None:
         """Return the next write at `elapsed` seconds of running time.
 
-        None while there is nothing to write, while the previous write is not reported, and after a failure
-        until `retry_failed`. Raises LogStateError where the log was found unusable.
+        Returns None if there is nothing to write, while the previous write is not reported, and after a
+        failure until `retry_failed` is called. Raises LogStateError if the log is unusable.
         """
         if self._in_flight or (self.failure_reason and not self._retries_failure):
             return None
         if not (self._queue or self._has_retired_segments or self._retries_failure):
             return None
         if not self.condition.is_usable:
-            raise LogStateError(f"a log that is {self.condition.value} is not written to")
+            raise LogStateError(f"cannot write to a log in condition {self.condition.value}")
         write = SegmentWrite(self._current_segment, b"")
         records: list[Record] = []
         new_segment = None
         if not self._owns_current_segment or self._is_segment_due(elapsed):
             new_segment = self._start_segment(write, elapsed)
             records += self.carried_records()
-        taken = self._take_queued()
-        records += taken
+        dequeued_records = self._dequeue_records()
+        records += dequeued_records
         self.last_batch += 1
         batch = segment_codec.encode_batch(self.last_batch, records)
         base = len(write.data) if new_segment else self._segments[self._current_segment].size
         write.data += batch.data
         write.unsynced_data = segment_codec.encode_frame(FrameKind.SYNCED, self.last_batch, b"")
         offsets = [base + offset for offset in batch.record_offsets]
-        self._in_flight = _WriteInFlight(write, records, offsets, self._last_taken_ticket, new_segment, taken)
+        self._in_flight = _WriteInFlight(
+            write, records, offsets, self._last_dequeued_ticket, new_segment, dequeued_records
+        )
         return write
 
     def write_synced(self) -> None:
-        """Report that the write in flight is durable. Raises LogStateError where there is none."""
+        """Report that the write in flight is durable; raises LogStateError if there is none."""
         in_flight = self._in_flight
         if in_flight is None:
             raise LogStateError("no write is in flight")
@@ -260,26 +257,27 @@
         self.durable_ticket = in_flight.last_ticket
 
     def write_failed(self, reason: str) -> None:
-        """Report that the write in flight may or may not be durable; nothing is written until `retry_failed`.
+        """Report that the write in flight failed and may or may not be durable.
 
-        It must not be synced again: after a failed sync the kernel may drop the dirty pages, and the next
-        sync would succeed without them. Its records stay queued, under their tickets, for a new segment; what
-        it may have left behind in the present one is cut off first.
+        Nothing is written until `retry_failed` is called. The write must not be synced again: after a failed
+        sync, the kernel may drop the dirty pages, and the next sync would succeed without them. The records
+        stay queued under their tickets for a new segment, and the current segment is truncated first to
+        remove any remains of the write.
         """
         self.failure_reason = reason
         self._retries_failure = False
         in_flight, self._in_flight = self._in_flight, None
         if in_flight is None:
             return
-        self._queue.extendleft(reversed(in_flight.taken))
-        self._last_taken_ticket -= len(in_flight.taken)
+        self._queue.extendleft(reversed(in_flight.dequeued_records))
+        self._last_dequeued_ticket -= len(in_flight.dequeued_records)
         self.last_batch -= 1
         if in_flight.new_segment is None:
             self._truncation = Truncation(self._current_segment, self._segments[self._current_segment].size)
             self._owns_current_segment = False
 
     def retry_failed(self) -> None:
-        """Let the next write begin a new segment, with all that has not become durable."""
+        """Allow the next write, which starts a new segment with all records that are not durable yet."""
         self._retries_failure = True
 
     @property
@@ -287,7 +285,7 @@
         return self._retired_through >= min(self._segments, default=1)
 
     def _is_segment_due(self, elapsed: float) -> bool:
-        """Whether a new segment is due: by size, by the time that the current spans, or to retire others."""
+        """Return whether a new segment is due by the current one's size or time span, or to retire others."""
         current = self._segments[self._current_segment]
         return (
             current.size >= self.options.segment_bytes
@@ -296,7 +294,7 @@
         )
 
     def _start_segment(self, write: SegmentWrite, elapsed: float) -> SegmentInfo:
-        """Make this write start a segment, and name the segments that are obsolete by then."""
+        """Make this write start a segment, and add the segments that are obsolete then."""
         number = self._current_segment + 1
         expired = self._expired_segments(number, elapsed)
         remaining = [each for each in (*sorted(self._segments), number) if each not in expired]
@@ -317,22 +315,22 @@
         return SegmentInfo(elapsed, segment_codec.FORMAT_VERSION)
 
     def _expired_segments(self, new_segment: int, elapsed: float) -> list[int]:
-        """Segments whose records have all outlived the retention, or were written again."""
+        """Return the segments whose records have all exceeded the retention or have been rewritten."""
         expired = []
         for number, following in pairwise((*sorted(self._segments), new_segment)):
-            # The youngest record of a segment was written before the following one started.
+            # The newest record of a segment was written before the following segment started.
             ended_at = elapsed if following == new_segment else self._segments[following].started_at
             if elapsed - ended_at >= self.options.keep or number <= self._retired_through:
                 expired.append(number)
         return expired
 
-    def _take_queued(self) -> list[Record]:
-        """Take the queued records that fit into one write."""
-        taken: list[Record] = []
+    def _dequeue_records(self) -> list[Record]:
+        """Remove and return the queued records for one write."""
+        dequeued_records: list[Record] = []
         size = 0
         while self._queue and size < MAX_BATCH_BYTES:
             record = self._queue.popleft()
-            self._last_taken_ticket += 1
+            self._last_dequeued_ticket += 1
             size += len(record.payload)
-            taken.append(record)
-        return taken
+            dequeued_records.append(record)
+        return dequeued_records
