--- a/frostfall/recovery/operation_log.py
+++ b/frostfall/recovery/operation_log.py
@@ -396,5 +396,5 @@
         if member not in operation.unanswered_members:
             return
         operation.unanswered_members.discard(member)
-        own_record_counts = self.incomplete_reason is None or operation.confirmed_by_replicas
-        operation.confirmed_absent = not operation.unanswered_members and own_record_counts
+        own_absence_proven = self.incomplete_reason is None or operation.confirmed_by_replicas
+        operation.confirmed_absent = not operation.unanswered_members and own_absence_proven
--- a/frostfall/replication/digest_tree.py
+++ b/frostfall/replication/digest_tree.py
@@ -125,12 +125,15 @@
         """Return all operations below a node, sorted by key."""
         depth, prefix = node
         positions = range(self._first_position(depth, prefix), self._first_position(depth, prefix + 1))
-        return [DigestEntry(self._keys[at], _digest_state(self._locations[at])) for at in positions]
+        return [
+            DigestEntry(self._keys[position], _digest_state(self._locations[position]))
+            for position in positions
+        ]
 
     def location(self, key: int) -> int:
         """Return the packed location of a key's record; 0 if there is none."""
-        at = bisect_left(self._keys, key)
-        return self._locations[at] if at < len(self._keys) and self._keys[at] == key else 0
+        position = bisect_left(self._keys, key)
+        return self._locations[position] if position < len(self._keys) and self._keys[position] == key else 0
 
     def lacks(self, key: int, state: int) -> bool:
         """Return whether this tree lacks another member's entry, or that entry's SERVED state."""
@@ -187,11 +190,11 @@
     return child.total.to_bytes(_SUM_BYTES, "big") + child.entries.to_bytes(_COUNT_BYTES, "big")
 
 
-def _decode_child(data: bytes, at: int) -> ChildDigest:
-    count_at = at + _SUM_BYTES
+def _decode_child(data: bytes, offset: int) -> ChildDigest:
+    count_offset = offset + _SUM_BYTES
     return ChildDigest(
-        total=int.from_bytes(data[at:count_at], "big"),
-        entries=int.from_bytes(data[count_at : at + _CHILD_BYTES], "big"),
+        total=int.from_bytes(data[offset:count_offset], "big"),
+        entries=int.from_bytes(data[count_offset : offset + _CHILD_BYTES], "big"),
     )
 
 
@@ -238,19 +241,19 @@
     def _handle_entries(self, data: bytes) -> None:
         if len(data) % _ENTRY_BYTES:
             raise ValueError("length is not a multiple of the entry size")
-        for at in range(0, len(data), _ENTRY_BYTES):
-            key = int.from_bytes(data[at : at + KEY_BYTES], "big")
-            if self._own.lacks(key, data[at + KEY_BYTES]):
+        for offset in range(0, len(data), _ENTRY_BYTES):
+            key = int.from_bytes(data[offset : offset + KEY_BYTES], "big")
+            if self._own.lacks(key, data[offset + KEY_BYTES]):
                 self.missing_keys.append(key)
 
     def _handle_children(self, query: DigestQuery, data: bytes) -> None:
         if len(data) != _CHILD_BYTES * FANOUT * len(query.prefixes):
             raise ValueError("length does not match the number of queried nodes")
-        at = 0
+        offset = 0
         for node in query.nodes:
             for child_prefix, own in enumerate(self._own.children(node), node.prefix * FANOUT):
-                other = _decode_child(data, at)
-                at += _CHILD_BYTES
+                other = _decode_child(data, offset)
+                offset += _CHILD_BYTES
                 if other.entries and other != own:
                     child = TreeNode(node.depth + 1, child_prefix)
                     (self._leaf_nodes if _is_leaf(child, own, other) else self._inner_nodes).append(child)
--- a/frostfall/replication/operator_holds.py
+++ b/frostfall/replication/operator_holds.py
@@ -37,9 +37,8 @@
     peers: frozenset[str]
     own_hold: OperatorHold = NO_HOLD
     peer_holds: dict[str, OperatorHold] = field(default_factory=dict)  # stored holds by peer
-    acknowledged_serials: dict[str, int] = field(
-        default_factory=dict
-    )  # serial of the own hold on disk, by peer
+    # Serial of this member's hold on the disk of each peer.
+    acknowledged_serials: dict[str, int] = field(default_factory=dict)
 
     @property
     def required_acknowledgements(self) -> int:
--- a/frostfall/storage/record_index.py
+++ b/frostfall/storage/record_index.py
@@ -25,9 +25,8 @@
 _STATE_MASK = (1 << _STATE_BITS) - 1
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
 
-_RECORD_STATES = tuple(
-    sorted(RecordState)
-)  # indexed by value, which is several times as fast as a call of the enum
+# Record states indexed by value; an index access is several times as fast as a call of the enum.
+_RECORD_STATES = tuple(sorted(RecordState))
 
 # Contents of a slot without an entry. Packed locations are larger, because segments are numbered from 1.
 _EMPTY = 0
