--- a/frostfall/bench/actors_fleet.py
+++ b/frostfall/bench/actors_fleet.py
@@ -90,7 +90,7 @@
             self.restart()
             return
         if self._held >= FULL:
-            await stream.send(pg.error_response("ERROR", "53300", "full") + pg.READY)
+            await stream.send(pg.error_response("ERROR", "53300", "full") + pg.READY_FOR_QUERY)
             return
         if unsafe:
             self._say(
@@ -111,7 +111,7 @@
             if self.started == began:
                 self._held -= 1
         value = (operation[1] if operation else request.encode()) + b"@" + self.name.encode()
-        await stream.send(peers.row(value + b"#" + request.encode()) + pg.READY)
+        await stream.send(peers.row(value + b"#" + request.encode()) + pg.READY_FOR_QUERY)
 
 
 async def fleet(
--- a/frostfall/bench/fault_soak/servers.py
+++ b/frostfall/bench/fault_soak/servers.py
@@ -86,7 +86,7 @@
         ran = mode is not ServerMode.FULL
         self._attempts.append(AttemptRecord(request_id, self.name, monotonic(), ran))
         if mode is ServerMode.FULL:
-            await stream.send(pg.error_response("ERROR", "53300", "full") + pg.READY)
+            await stream.send(pg.error_response("ERROR", "53300", "full") + pg.READY_FOR_QUERY)
             return True
         if mode is ServerMode.RESETS:
             stream.reset_on_close()
@@ -94,7 +94,7 @@
         await anyio.sleep(self._delay + (LATE_SECONDS if mode is ServerMode.LATE else 0.0))
         while self.mode is ServerMode.HANGS:
             await self._recovered.wait()
-        answer = row(value_for(request_id, int(size[1]) if size else 100)) + pg.READY
+        answer = row(value_for(request_id, int(size[1]) if size else 100)) + pg.READY_FOR_QUERY
         if mode is ServerMode.PIECES:
             step = len(answer) // PIECES + 1
             for start in range(0, len(answer), step):
--- a/frostfall/bench/peers.py
+++ b/frostfall/bench/peers.py
@@ -20,7 +20,7 @@
 from frostfall.net.streams import STREAM_ERRORS, Stream, connect, create_socket
 from frostfall.protocol import pg
 
-WELCOME = pg.frame(b"R", b"\0\0\0\0") + pg.frame(b"K", b"\0" * 8) + pg.READY
+WELCOME = pg.frame(b"R", b"\0\0\0\0") + pg.frame(b"K", b"\0" * 8) + pg.READY_FOR_QUERY
 SEGMENT = 1460  # bytes: what goes into one packet on the way to a phone; loopback's own are 64 KiB
 SMALL_BUFFER = 4096  # bytes that a slow peer's kernel takes in before it, doubled by the kernel
 BEAT = 0.05  # seconds: a slow peer reads or writes this often
@@ -118,11 +118,12 @@
             request = name[1].decode() if name else ""
             self.runs[request] += 1
             await anyio.sleep(self.delay)
-            answer = row(value_for(request, int(size[1]) if size else 100)) + pg.READY
+            answer = row(value_for(request, int(size[1]) if size else 100)) + pg.READY_FOR_QUERY
             if self.script == "drip" and not first:
                 await drip(stream, answer, self.rate)
             elif self.script == "short":
-                await stream.send(answer[: -len(pg.READY) - 15])  # one byte of the value and CommandComplete
+                # one byte of the value and CommandComplete
+                await stream.send(answer[: -len(pg.READY_FOR_QUERY) - 15])
                 await anyio.sleep_forever()
             else:
                 await stream.send(answer)
--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -16,8 +16,8 @@
 from frostfall.json5_locations import find_line, parse_path
 from frostfall.limits.options import SlowPeerOptions
 from frostfall.options import LoggingOptions, Options
-from frostfall.protocol import news
-from frostfall.protocol.listing import Listing
+from frostfall.protocol import rollout_messages
+from frostfall.protocol.discovery import EndpointListUpdate
 from frostfall.settings import SettingsError, decode_settings
 
 MAX_PORT = 65535
@@ -64,7 +64,7 @@
     peers_all: Address | None
     rollout_api: Address | None
     initial_rollout: api.RolloutState | None
-    initial_endpoint_list: Listing
+    initial_endpoint_list: EndpointListUpdate
     settings: deployment.Settings
     log_level: str
     options: Options
@@ -90,7 +90,9 @@
     peers: list[str] = []
     peers_all: str = ""
     rollout_api: _RolloutApi | None = msgspec.field(default=None, name="release_api")
-    endpoint_list: Listing = msgspec.field(default_factory=lambda: Listing(0, True, []), name="known")
+    endpoint_list: EndpointListUpdate = msgspec.field(
+        default_factory=lambda: EndpointListUpdate(0, True, []), name="known"
+    )
 
 
 class _OperatorFile(msgspec.Struct, forbid_unknown_fields=True):
@@ -253,7 +255,7 @@
 def _parse_initial_rollout(rollout_api: _RolloutApi | None) -> api.RolloutState | None:
     if rollout_api is None or rollout_api.news is None:
         return None
-    state = news.read(rollout_api.news, api.VoteReply.NONE)
+    state = rollout_messages.parse_state(rollout_api.news, api.VoteReply.NONE)
     if isinstance(state, str):
         raise ConfigError(f"release_api.news: {state}")
     return state
--- a/frostfall/limits/__init__.py
+++ b/frostfall/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on slow peers and buffered bytes, fair scheduling and timers; decided without I/O or a clock."""
+"""Limits on slow peers and buffered bytes, fair scheduling and timers, without I/O or access to a clock."""
--- a/frostfall/limits/arrival_pacing.py
+++ b/frostfall/limits/arrival_pacing.py
@@ -1,4 +1,4 @@
-"""Pacing of new connections by a token bucket, so that many at once do not hold up the open ones."""
+"""Rate limit for accepting connections (token bucket), so that bursts do not delay open connections."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 import msgspec
 
-TOKEN_TOLERANCE = 1e-6  # of a token that may be missing by rounding
+TOKEN_TOLERANCE = 1e-6  # the fraction of a token that may be missing due to rounding
 MIN_WAIT_SECONDS = 1e-6
 
 
 class ArrivalRate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How fast new connections are accepted; the others wait in the kernel. ValueError where out of range."""
+    """Rate of accepting connections; others wait in the kernel. Raises ValueError for values out of range."""
 
-    rate: float  # connections a second
-    burst: int = 8  # connections at once
+    rate: float  # connections per second
+    burst: int = 8  # connections accepted at once, with a full bucket
 
     def __post_init__(self) -> None:
         """Check the ranges."""
@@ -33,14 +33,14 @@
         self._filled_at = 0.0  # seconds
 
     def take(self, now: float, limit: ArrivalRate | None) -> float:
-        """Take a token at `now`, in seconds; 0 if there was one, else the seconds to wait for it."""
+        """Take a token at `now`, in seconds. Returns 0, or the seconds until a token is available."""
         if limit is None:
             self._tokens = math.inf
             return 0.0
         elapsed = max(now - self._filled_at, 0.0)
         self._tokens = min(self._tokens + elapsed * limit.rate, limit.burst)
         self._filled_at = now
-        # Where the clock's resolution is coarse, rounding could leave the bucket just below one token.
+        # With a coarse clock, rounding could leave the bucket just below one token.
         if self._tokens < 1 - TOKEN_TOLERANCE:
             return max((1 - self._tokens) / limit.rate, MIN_WAIT_SECONDS)
         self._tokens -= 1
--- a/frostfall/limits/buffer_budget.py
+++ b/frostfall/limits/buffer_budget.py
@@ -1,9 +1,9 @@
-"""Budgets of buffered bytes for one client, one source address and all, and who is evicted above them.
+"""Limits on buffered bytes per client, per source address and in total, and the choice of clients to evict.
 
-Bytes in the agent's memory and in the kernel's send buffers both count. The rule is longest-queue drop
+Bytes in the agent's memory and in the kernel's send buffers both count. The policy is longest-queue drop
 (B. Suter et al., "Design considerations for supporting TCP with per-flow queueing", INFOCOM 1998): the
-client with most buffered bytes is evicted, among equals the one that reads most slowly. A client that reads
-fast is never chosen, as its buffers drain by themselves.
+client with the most buffered bytes is evicted, and among equals the slowest reader. A client that reads fast
+is never evicted, as its buffers will drain without intervention.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class BufferScope(Enum):
-    """Which limit is exceeded; the value is the name of its setting."""
+    """The limit that is exceeded; the value is the name of its setting."""
 
     CLIENT = "reader_bytes"
     SOURCE = "source_bytes"
@@ -29,17 +29,17 @@
 
 
 class BufferLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The section `waiting` of the operator file. ValueError where the values do not fit together."""
+    """Section `waiting` of the operator file. Raises ValueError for inconsistent values."""
 
     reader_bytes: int = 256 * 1024  # for one client
     source_bytes: int = 4 * 1024 * 1024  # for all clients of one source address
     all_bytes: int = 12 * 1024 * 1024  # for all clients
-    grain_bytes: int = 4096  # amounts are compared in these units, so that throughput decides near equals
-    fast: float = 256 * 1024.0  # bytes a second from which a client is never evicted
-    kernel_bytes: int = 64 * 1024  # of a client's, in the kernel's send buffer
+    grain_bytes: int = 4096  # unit in which amounts are compared, so that throughput breaks near ties
+    fast: float = 256 * 1024.0  # throughput in bytes per second from which a client is never evicted
+    kernel_bytes: int = 64 * 1024  # for one client in the kernel's send buffer
 
     def __post_init__(self) -> None:
-        """Check that the values fit together."""
+        """Check the ranges, and that no limit exceeds the next wider one."""
         for key in ("reader_bytes", "source_bytes", "all_bytes", "grain_bytes", "fast", "kernel_bytes"):
             if getattr(self, key) <= 0:
                 raise ValueError(f"{key}: {getattr(self, key):g} is not above 0")
@@ -53,7 +53,7 @@
 
 
 class BufferEviction(NamedTuple, Generic[Key]):
-    """A client to be evicted, and the limit that is exceeded."""
+    """A client to evict, and the limit that is exceeded."""
 
     scope: BufferScope
     key: Key
@@ -63,22 +63,22 @@
 class _Account:
     source: str
     buffered_bytes: int = 0
-    throughput: float | None = None  # bytes a second; None until it is first measured
+    throughput: float | None = None  # bytes per second; None before the first measurement
 
 
 class BufferBudget(Generic[Key]):
-    """Buffered bytes by client; each call takes O(log n) steps in the number of clients with any.
+    """Buffered bytes by client; each call takes O(log n) steps for n clients with buffered bytes.
 
-    A client without buffered bytes has no account, and most never get one.
+    A client without buffered bytes has no account, and most clients never get one.
     """
 
     def __init__(self, limits: BufferLimits) -> None:
         """Begin with nothing buffered."""
         self.limits = limits
-        self.buffered_bytes = 0  # for all clients
+        self.buffered_bytes = 0  # total for all clients
         self._accounts: dict[Key, _Account] = {}
         self._bytes_by_source: dict[str, int] = {}
-        # Clients that may be evicted, the first to go on top.
+        # Clients that may be evicted, with the next one on top.
         self._candidates: IndexedHeap[Key] = IndexedHeap()
         self._candidates_by_source: dict[str, IndexedHeap[Key]] = {}
 
@@ -87,16 +87,16 @@
         return len(self._accounts)
 
     def buffered_for(self, key: Key) -> int:
-        """The bytes buffered for one client."""
+        """Return the bytes buffered for one client."""
         account = self._accounts.get(key)
         return account.buffered_bytes if account else 0
 
     def buffered_for_source(self, source: str) -> int:
-        """The bytes buffered for the clients of one source address."""
+        """Return the bytes buffered for the clients of one source address."""
         return self._bytes_by_source.get(source, 0)
 
     def update(self, key: Key, source: str, buffered_bytes: int, throughput: float | None) -> None:
-        """Set a client's buffered bytes, and its throughput in bytes a second (None: not measured now)."""
+        """Set a client's buffered bytes, and its throughput in bytes per second unless that is None."""
         if buffered_bytes <= 0:
             self.release(key)
             return
@@ -119,8 +119,8 @@
             for heap in candidates:
                 heap.discard(key)
             return
-        # A client that has had no time to read goes after all that had and did not. Amounts are compared in
-        # grains, or a difference of one byte would decide.
+        # Clients with a measured throughput are evicted before those that have had no time to read. Amounts
+        # are compared in units of grain_bytes, otherwise a difference of one byte would decide.
         priority = (
             float(throughput is not None),
             float(account.buffered_bytes // self.limits.grain_bytes),
@@ -130,7 +130,7 @@
             heap.put(key, priority)
 
     def release(self, key: Key) -> None:
-        """Drop a client's account: nothing is buffered for it any more."""
+        """Delete a client's account, as nothing is buffered for the client any more."""
         account = self._accounts.pop(key, None)
         if account is None:
             return
@@ -144,10 +144,10 @@
             del self._candidates_by_source[source]
 
     def find_eviction(self, key: Key) -> BufferEviction[Key] | None:
-        """The client to evict after an update of `key`; None where no limit is exceeded.
+        """Return the client to evict after an update of `key`; None if no limit is exceeded.
 
-        The caller closes that client, which releases its account, and calls again. None too where only fast
-        readers are above a limit: they continue, and new work is held back (`saturated`).
+        The caller closes that client's connection, which releases the account, and calls again. Also None if
+        only fast readers exceed a limit: these continue, and new work is deferred (see `saturated`).
         """
         account = self._accounts.get(key)
         if account is None:
@@ -167,5 +167,5 @@
 
     @property
     def saturated(self) -> bool:
-        """Whether no more should be buffered: the total is exceeded and only fast readers hold it."""
+        """Whether nothing more should be buffered: the total limit is exceeded by fast readers alone."""
         return self.buffered_bytes > self.limits.all_bytes and not len(self._candidates)
--- a/frostfall/limits/fair_scheduling.py
+++ b/frostfall/limits/fair_scheduling.py
@@ -1,8 +1,9 @@
-"""Fair scheduling of connections: what one may process before the others have their turn.
+"""Fair scheduling of connections: limits what one connection may process before the others are served.
 
 Deficit round robin (M. Shreedhar and G. Varghese, "Efficient fair queueing using deficit round robin",
-SIGCOMM 1995): each turn adds a quantum; what a message costs beyond it is paid back in the turns that follow,
-so that a connection with large messages gets no more than one with small messages.
+SIGCOMM 1995): in each time slice, a connection receives a quantum of credit. The excess cost of a message is
+deducted from the following time slices, so that a connection with large messages gets no larger share than
+one with small messages.
 """
 
 from __future__ import annotations
@@ -11,10 +12,10 @@
 
 
 class Quantum(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one turn adds, for parsing and for writing. ValueError where a value is out of range."""
+    """The credit of one time slice, for parsing and for writing. Raises ValueError if out of range."""
 
-    size: int = 72 * 1024  # bytes: one whole answer
-    messages: int = 32  # messages, however small
+    size: int = 72 * 1024  # bytes; the default is one whole answer
+    messages: int = 32  # maximum number of messages, however small
 
     def __post_init__(self) -> None:
         """Check the ranges."""
@@ -34,17 +35,17 @@
         self._credit_bytes = 0
         self._messages_left = 0
 
-    def begin_turn(self) -> None:
-        """Begin a turn: unused credit of the last one is lost, a debt remains."""
+    def add_quantum(self) -> None:
+        """Begin a time slice: unused credit of the last one expires, a debt remains."""
         self._credit_bytes = min(self._credit_bytes, 0) + self._quantum.size
         self._messages_left = self._quantum.messages
 
     def charge(self, size: int) -> None:
-        """Charge one message of so many bytes."""
+        """Charge one message of `size` bytes."""
         self._credit_bytes -= size
         self._messages_left -= 1
 
     @property
     def may_continue(self) -> bool:
-        """Whether this turn may process another message."""
+        """Whether another message may be processed in this time slice."""
         return self._credit_bytes > 0 and self._messages_left > 0
--- a/frostfall/limits/indexed_heap.py
+++ b/frostfall/limits/indexed_heap.py
@@ -1,7 +1,7 @@
-"""A binary heap that knows the position of each key, so that keys can be moved and removed anywhere.
+"""A binary heap with an index of positions, so that any key can be removed or its priority changed.
 
-Putting, moving and removing a key takes O(log n) steps, reading the first O(1). With `heapq`, priorities that
-change often would leave void entries behind, to be cleared out; a plain list would need a scan (figures:
+Adding, changing and removing a key takes O(log n) steps, reading the first key O(1). With `heapq`, priorities
+that change often would leave obsolete entries to clean up; a plain list would need a scan (measurements:
 docs/design-slow-peers.md). After J. W. J. Williams, "Algorithm 232: Heapsort", CACM 7 (1964).
 """
 
@@ -15,14 +15,14 @@
 
 
 class IndexedHeap(Generic[Key]):
-    """Keys by priority, the highest first; those of equal priority in the order in which they were added."""
+    """Keys by priority, the highest first; keys of equal priority in the order in which they were added."""
 
     __slots__ = ("_heap", "_next_order", "_positions")
 
     def __init__(self) -> None:
         """Begin empty."""
-        # Plain tuples (priority, order, key), as they are compared far more often than read; orders count
-        # down, so that the earlier of two equal priorities is the greater.
+        # Plain tuples (priority, order, key), as comparisons far outnumber reads. Orders count down, so that
+        # the earlier of two keys with equal priority compares greater.
         self._heap: list[tuple[Priority, int, Key]] = []
         self._positions: dict[Key, int] = {}
         self._next_order = 0
@@ -36,21 +36,21 @@
         return key in self._positions
 
     def __iter__(self) -> Iterator[Key]:
-        """All keys, in no order."""
+        """Iterate over all keys, in no particular order."""
         return iter(self._positions)
 
     def priority(self, key: Key) -> Priority | None:
-        """The key's priority; None where it is not in the heap."""
+        """Return a key's priority; None if the key is not in the heap."""
         position = self._positions.get(key)
         return None if position is None else self._heap[position][0]
 
     @property
     def first(self) -> Key | None:
-        """The key of the highest priority; None where the heap is empty."""
+        """The key with the highest priority; None if the heap is empty."""
         return self._heap[0][2] if self._heap else None
 
     def put(self, key: Key, priority: Priority) -> None:
-        """Add a key, or change its priority; its order among equals stays."""
+        """Add a key, or change its priority without changing its order among equals."""
         position = self._positions.get(key)
         if position is None:
             self._next_order -= 1
@@ -67,7 +67,7 @@
             self._sift_down(position)
 
     def discard(self, key: Key) -> bool:
-        """Remove a key; False where it was not in the heap."""
+        """Remove a key; False if the key was not in the heap."""
         position = self._positions.pop(key, None)
         if position is None:
             return False
--- a/frostfall/limits/options.py
+++ b/frostfall/limits/options.py
@@ -1,6 +1,6 @@
-"""Options on slow peers: the section `slow_peers` of the operator file, with its defaults.
+"""Options for slow peers: section `slow_peers` of the operator file, with its defaults.
 
-The fields' names are the keys of the file and stay as they are.
+The names of fields are the keys of the file. Invalid values raise ValueError.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 
 class ClientClassOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What differs for one class of requests: reading only, as a query's class is known late."""
+    """Overrides for one request class: only for reading, as a query's class is unknown while it is sent."""
 
     reading: MinimumRate | None = None
 
 
 class ServerClassOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What differs for one class of requests."""
+    """Overrides for one request class."""
 
     reading: MinimumRate | None = None
     sending: MinimumRate | None = None
 
 
 class ClientOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Minimum rates of clients, for `reading` answers and `sending` queries; None requires none."""
+    """Minimum rates of clients, for `reading` answers and `sending` queries; None means no minimum."""
 
     reading: MinimumRate | None = None
     sending: MinimumRate | None = None
-    sending_most: float = 60.0  # seconds in which one query has to come in, at whatever rate
+    sending_most: float = 60.0  # seconds within which a query has to be complete, at any rate
     classes: dict[str, ClientClassOptions] = {}
 
     def __post_init__(self) -> None:
@@ -43,39 +43,39 @@
             raise ValueError(f"sending_most: {self.sending_most:g} is not above 0")
 
     def reading_rate(self, class_name: str) -> MinimumRate | None:
-        """The minimum rate for reading answers of this class."""
-        own = self.classes.get(class_name)
-        return own.reading if own and own.reading else self.reading
+        """Return the minimum rate for reading answers of this class."""
+        override = self.classes.get(class_name)
+        return override.reading if override and override.reading else self.reading
 
 
 class ServerOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Minimum rates of servers, for `reading` queries and `sending` an answer from its first byte on."""
+    """Minimum rates of servers, for `reading` queries and `sending` answers from the first byte on."""
 
     reading: MinimumRate | None = None
     sending: MinimumRate | None = None
     classes: dict[str, ServerClassOptions] = {}
-    apart: EjectionOptions = EjectionOptions()
+    apart: EjectionOptions = EjectionOptions()  # ejection of slow servers
 
     def reading_rate(self, class_name: str) -> MinimumRate | None:
-        """The minimum rate for reading queries of this class."""
-        own = self.classes.get(class_name)
-        return own.reading if own and own.reading else self.reading
+        """Return the minimum rate for reading queries of this class."""
+        override = self.classes.get(class_name)
+        return override.reading if override and override.reading else self.reading
 
     def sending_rate(self, class_name: str) -> MinimumRate | None:
-        """The minimum rate for sending answers of this class, once begun."""
-        own = self.classes.get(class_name)
-        return own.sending if own and own.sending else self.sending
+        """Return the minimum rate for sending answers of this class, from the first byte on."""
+        override = self.classes.get(class_name)
+        return override.sending if override and override.sending else self.sending
 
 
 class SlowPeerOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole section; without it only the limits hold that cannot be set."""
+    """The complete section; without it, only the limits that are not configurable apply."""
 
     clients: ClientOptions = ClientOptions()
     servers: ServerOptions = ServerOptions()
-    waiting: BufferLimits | None = None
-    turn: Quantum = Quantum()
-    arrivals: ArrivalRate | None = None  # without it, connections are accepted as they come
-    log_every: float = 10.0  # seconds between log lines on shed peers
+    waiting: BufferLimits | None = None  # limits of bytes buffered for clients; None means no limit
+    turn: Quantum = Quantum()  # of the fair scheduling of connections
+    arrivals: ArrivalRate | None = None  # rate of accepting connections; None means no limit
+    log_every: float = 10.0  # minimum seconds between log lines about shed peers
 
     def __post_init__(self) -> None:
         """Check the ranges."""
@@ -83,8 +83,8 @@
             raise ValueError(f"log_every: {self.log_every:g} is not above 0")
 
     @property
-    def watches_clients(self) -> bool:
-        """Whether clients' connections have to be observed while answers are sent to them."""
+    def monitors_clients(self) -> bool:
+        """Whether clients' connections have to be monitored while answers are sent to them."""
         return bool(
             self.waiting
             or self.clients.reading
@@ -92,7 +92,7 @@
         )
 
     @property
-    def watches_servers(self) -> bool:
-        """Whether attempts have to be observed."""
-        of_classes = (options.reading or options.sending for options in self.servers.classes.values())
-        return bool(self.servers.reading or self.servers.sending or any(of_classes))
+    def monitors_servers(self) -> bool:
+        """Whether connections to servers have to be monitored during attempts."""
+        class_rates = (options.reading or options.sending for options in self.servers.classes.values())
+        return bool(self.servers.reading or self.servers.sending or any(class_rates))
--- a/frostfall/limits/shed_counter.py
+++ b/frostfall/limits/shed_counter.py
@@ -1,4 +1,4 @@
-"""Counts of shed peers by reason, reported once an interval and not once a peer."""
+"""Counts of shed peers by reason, reported once per interval instead of once per peer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ShedReason(Enum):
-    """Why a peer was shed; the value stands in logs and reports."""
+    """Why a peer was shed; the value appears in logs and reports."""
 
     CLIENT_READS_SLOWLY = "client reads below the least rate"
     CLIENT_SENDS_SLOWLY = "client sends below the least rate"
@@ -21,17 +21,17 @@
 
 
 class ShedReport(msgspec.Struct, frozen=True):
-    """What was shed since the last report."""
+    """The peers shed since the last report."""
 
-    counts: dict[str, int]  # by the reason's text, the most frequent first
-    last_peer: str  # the address of the last one, as an example
+    counts: dict[str, int]  # by ShedReason value, the most frequent first
+    last_peer: str  # address of the last shed peer, as an example
 
 
 class ShedCounter:
-    """Counts since the start and since the last report."""
+    """Counts of shed peers since the start and since the last report."""
 
     def __init__(self, report_interval: float) -> None:
-        """Report once in so many seconds at most."""
+        """Report at most once per `report_interval`, in seconds."""
         self.report_interval = report_interval
         self.counts: Counter[ShedReason] = Counter()  # since the start
         self._unreported: Counter[ShedReason] = Counter()
@@ -39,13 +39,13 @@
         self._last_peer = ""
 
     def record(self, reason: ShedReason, peer: str) -> None:
-        """Count one peer, given by its address."""
+        """Count one peer, identified by its address."""
         self.counts[reason] += 1
         self._unreported[reason] += 1
         self._last_peer = peer
 
     def report_if_due(self, now: float) -> ShedReport | None:
-        """The next report; None where none is due at `now`, in seconds."""
+        """Return the next report; None if no report is due at `now`, in seconds."""
         if not self._unreported or now - self._reported_at < self.report_interval:
             return None
         counts = {reason.value: count for reason, count in self._unreported.most_common()}
@@ -54,5 +54,5 @@
         return ShedReport(counts, self._last_peer)
 
     def totals(self) -> dict[str, int]:
-        """All since the start, by the reason's text, for the health line."""
+        """Return the counts since the start by ShedReason value, for the log line on the agent's health."""
         return {reason.value: count for reason, count in self.counts.items()}
--- a/frostfall/limits/throughput_monitor.py
+++ b/frostfall/limits/throughput_monitor.py
@@ -1,8 +1,8 @@
-"""Whether a peer reads, or sends, the bytes that are due at a minimum rate.
+"""Checks whether a peer reads or sends bytes at a minimum rate while bytes are due.
 
-The monitor is given positions, not events: how many bytes the peer has transferred in all, and up to which
-position they are due. Bytes are cumulative over the life of a connection, times are attended seconds
-(`limits.stall_adjusted_clock`).
+The monitor observes positions, not events: the number of bytes that the peer has transferred, and the
+position up to which bytes are due. Both count from the opening of the connection. Times are stall-adjusted
+seconds (`limits.stall_adjusted_clock`).
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 
 import msgspec
 
-END_UNKNOWN = 1 << 62  # the due position until the end is known, such as of an answer of unknown length
-MIN_RATE_SPAN_SECONDS = 1e-6  # a shorter span counts as this long
+END_UNKNOWN = 1 << 62  # the due position while the end is unknown, as in an answer of unknown length
+MIN_RATE_SPAN_SECONDS = 1e-6  # lower bound of a span, which avoids division by zero
 
 
 class ThroughputVerdict(Enum):
-    """What an observation says of a peer."""
+    """The result of an observation."""
 
     IDLE = auto()  # nothing is due, or all that was due at the last observation has been transferred
-    PROGRESSING = auto()  # something is due, and it is fast enough so far
+    PROGRESSING = auto()  # bytes are due, and the peer has been fast enough so far
     SLOW = auto()  # below the minimum rate, for less than the window
     STALLED = auto()  # nothing has been transferred since the last observation
     FAILED = auto()  # below the minimum rate over the whole window
 
 
 class MinimumRate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A minimum of bytes a second over a window, in which one stall is forgiven up to the grace.
+    """A minimum rate over a window, in which one stall is excused for up to the grace.
 
-    A shape of the operator file. ValueError where the values do not fit together.
+    Part of the operator file. Raises ValueError for inconsistent values.
     """
 
-    rate: float  # bytes a second
+    rate: float  # bytes per second
     window: float = 4.0  # seconds
-    grace: float = 1.5  # seconds, below the window
+    grace: float = 1.5  # seconds, shorter than the window
 
     def __post_init__(self) -> None:
-        """Check that the values fit together."""
+        """Check the ranges, and that the grace is shorter than the window."""
         if not 0 < self.rate < math.inf:
             raise ValueError(f"rate: {self.rate:g} is not above 0")
         if not 0 < self.window < math.inf:
@@ -47,40 +47,41 @@
             raise ValueError(f"grace: {self.grace:g} is not from 0 to below window, {self.window:g}")
 
     def required_bytes(self, elapsed: float, longest_stall: float) -> float:
-        """The bytes required in so many seconds, of which the longest stall is forgiven up to the grace."""
+        """Return the bytes required in `elapsed` seconds, excusing the longest stall for up to the grace."""
         return self.rate * max(elapsed - min(longest_stall, self.grace), 0.0)
 
 
 class _Sample(msgspec.Struct, frozen=True, gc=False):
-    at: float  # attended seconds
-    transferred: int  # bytes in all, more than in the sample before
+    at: float  # stall-adjusted seconds
+    transferred: int  # bytes since the connection was opened; increases from sample to sample
 
 
 class ThroughputMonitor:
-    """Judges one direction of one connection.
+    """Monitors one direction of one connection.
 
-    A peer is judged only over a span in which some byte was due at every observation. What was due at one
-    observation and is transferred by the next ends the span: a client that sends many requests and reads at
-    once has something due at most observations and is never behind. Transfers come in steps (a receiver opens
-    its window by whole segments), so the longest stall in the window is forgiven up to the grace.
+    The rate is checked only within a span, in which bytes were due at every observation. A span ends when
+    everything that was due at one observation has been transferred by the next one: a client that sends many
+    requests and reads each answer at once has bytes due at most observations, but is never behind. Transfers
+    occur in steps, as a receiver opens its window by whole segments, so the longest stall in the window is
+    excused for up to the grace.
     """
 
     __slots__ = ("_due", "_samples", "verdict")
 
     def __init__(self) -> None:
         """Begin with nothing transferred and nothing due."""
-        self._due = 0  # up to which position bytes were due at the last observation
-        self._samples: deque[_Sample] | None = None  # of the span under way, oldest first
+        self._due = 0  # position up to which bytes were due at the last observation
+        self._samples: deque[_Sample] | None = None  # of the current span, oldest first
         self.verdict = ThroughputVerdict.IDLE
 
     def reset(self) -> None:
-        """End the span: the next message is judged by itself."""
+        """End the span, so that the next message is checked on its own."""
         self._samples = None
         self._due = 0
         self.verdict = ThroughputVerdict.IDLE
 
     def observe(self, now: float, transferred: int, due: int, minimum: MinimumRate) -> ThroughputVerdict:
-        """Judge at `now`, with so many bytes transferred in all and those up to `due` due."""
+        """Check the rate at `now`, given the positions `transferred` and `due`."""
         samples = self._samples
         if samples is None or transferred >= due or transferred >= self._due:
             self._begin_span(now, transferred, due)
@@ -89,10 +90,10 @@
         progressed = transferred > samples[-1].transferred
         if progressed:
             samples.append(_Sample(now, transferred))
-        # The sample at or before the window's start stays: progress in the window is counted from it.
+        # Retain the last sample at or before the window's start: progress in the window is counted from it.
         while len(samples) > 1 and samples[1].at <= now - minimum.window:
             samples.popleft()
-        self.verdict = _judge(samples, now, transferred, minimum, progressed)
+        self.verdict = _check_rate(samples, now, transferred, minimum, progressed)
         return self.verdict
 
     def _begin_span(self, now: float, transferred: int, due: int) -> None:
@@ -106,7 +107,7 @@
 
     @property
     def throughput(self) -> float:
-        """Bytes a second over the span under way; 0 where there is none or nothing was transferred in it."""
+        """Bytes per second over the current span; 0 if there is no span or nothing was transferred in it."""
         if self._samples is None or len(self._samples) < 2:
             return 0.0
         first = self._samples[0]
@@ -114,7 +115,7 @@
         return (last.transferred - first.transferred) / max(last.at - first.at, MIN_RATE_SPAN_SECONDS)
 
 
-def _judge(
+def _check_rate(
     samples: deque[_Sample], now: float, transferred: int, minimum: MinimumRate, progressed: bool
 ) -> ThroughputVerdict:
     window_start = max(samples[0].at, now - minimum.window)
@@ -122,7 +123,7 @@
     previous = window_start
     for sample in samples:
         stall = sample.at - previous
-        if stall > 0:  # the first sample may be from before the window
+        if stall > 0:  # false for a first sample from before the window
             previous = sample.at
             if stall > longest_stall:
                 longest_stall = stall
--- a/frostfall/limits/timer_wheel.py
+++ b/frostfall/limits/timer_wheel.py
@@ -1,8 +1,9 @@
-"""A timer wheel for deadlines that are mostly postponed or cancelled before they come due.
+"""A timer wheel for deadlines that are mostly postponed or cancelled before they expire.
 
 Hashed and hierarchical, after G. Varghese and T. Lauck, "Hashed and hierarchical timing wheels", SOSP 1987:
-scheduling, postponing and cancelling take O(1), and a tick costs what comes due in it. A postponed timer
-stays in its slot and is placed anew when that slot comes up, so that postponing is one store.
+scheduling, postponing and cancelling take O(1), and the cost of a tick depends on the timers due in it. A
+postponed timer stays in its slot and is moved when that slot is processed, so that postponing only writes one
+attribute.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar, cast
 
-BITS_PER_LEVEL = 6  # of a tick's number: 64 slots, so that three levels reach 18 hours in quarter seconds
+BITS_PER_LEVEL = 6  # 64 slots per level, so that three levels span 18 hours in ticks of 0.25 s
 SLOTS_PER_LEVEL = 1 << BITS_PER_LEVEL
 SLOT_MASK = SLOTS_PER_LEVEL - 1
 LEVEL_COUNT = 4
@@ -18,19 +19,19 @@
 
 
 class Timer:
-    """One deadline; a class that has one derives from it. A wheel schedules and cancels it."""
+    """A deadline, which a TimerWheel schedules and cancels; the class that has a deadline derives from it."""
 
-    # Deriving avoids a timer and an owner that refer to each other, which would keep every ended connection
-    # in memory until the garbage collector runs.
+    # With a separate object, timer and owner would refer to each other, and every closed connection would
+    # remain in memory until the garbage collector runs.
 
     def __init__(self) -> None:
         """Begin unscheduled."""
-        self.due_tick = NOT_SCHEDULED  # the tick in which it comes due
-        self._slot: dict[Timer, None] | None = None  # of the wheel, where it is
+        self.due_tick = NOT_SCHEDULED  # the tick in which the timer expires
+        self._slot: dict[Timer, None] | None = None  # the slot of the wheel that contains the timer
 
     @property
     def armed(self) -> bool:
-        """Whether it is scheduled."""
+        """Whether the timer is scheduled."""
         return self.due_tick >= 0
 
 
@@ -38,10 +39,10 @@
 
 
 class TimerWheel(Generic[TimerType]):
-    """Timers by the tick in which they come due; `advance` is called once a tick, or later to catch up."""
+    """Timers by the tick in which they expire; `advance` is called once per tick, or later to catch up."""
 
     def __init__(self, tick: int = 0) -> None:
-        """Begin at a tick."""
+        """Begin at `tick`, without timers."""
         self.tick = tick
         # Each slot is a dict used as an ordered set.
         self._levels: list[list[dict[Timer, None]]] = [
@@ -54,11 +55,11 @@
         return self._count
 
     def schedule(self, timer: TimerType, ticks: int) -> None:
-        """Let it come due after so many ticks, at least one; an earlier schedule is replaced."""
+        """Schedule a timer to expire in `ticks` ticks, at least one; replaces an earlier deadline."""
         due = self.tick + max(ticks, 1)
         if timer._slot is not None:
             if due >= timer.due_tick:
-                # Deadlines are postponed with every answer, so that has to be cheap: the slot stays.
+                # Every answer postpones a deadline, which has to be cheap, so the timer stays in its slot.
                 timer.due_tick = due
                 return
             timer._slot.pop(timer, None)
@@ -68,7 +69,7 @@
         self._place(timer)
 
     def cancel(self, timer: TimerType) -> None:
-        """Let it not come due."""
+        """Cancel a timer; no effect if it is not scheduled."""
         if timer._slot is not None:
             timer._slot.pop(timer, None)
             timer._slot = None
@@ -76,10 +77,10 @@
             self._count -= 1
 
     def advance(self, tick: int) -> Iterator[TimerType]:
-        """Go on to this tick; yields the timers that come due on the way, in the order of their ticks.
+        """Advance to `tick` and yield the timers that expire, in the order of their ticks.
 
-        Timers may be scheduled or cancelled meanwhile. One that is cancelled before it was yielded is not
-        yielded.
+        Timers may be scheduled or cancelled during the iteration. A timer cancelled before it is yielded is
+        not yielded.
         """
         while self.tick < tick:
             if not self._count:
@@ -99,7 +100,7 @@
                     yield cast(TimerType, timer)
 
     def _cascade(self) -> None:
-        """Move the timers of a coarse slot that begins now to finer slots."""
+        """Move the timers of coarse slots that begin at the current tick to finer slots."""
         for level in range(1, LEVEL_COUNT):
             if self.tick & ((1 << BITS_PER_LEVEL * level) - 1):
                 return
@@ -116,7 +117,7 @@
             if ahead < 1 << BITS_PER_LEVEL * (level + 1):
                 slot = self._levels[level][(due >> BITS_PER_LEVEL * level) & SLOT_MASK]
                 break
-        else:  # beyond the wheel: the slot that comes up last, from where it is placed anew
+        else:  # beyond the wheel: the slot that is processed last, from which the timer is moved again
             last_slot = ((self.tick >> BITS_PER_LEVEL * (LEVEL_COUNT - 1)) - 1) & SLOT_MASK
             slot = self._levels[-1][last_slot]
         slot[timer] = None
--- a/frostfall/model/client.py
+++ b/frostfall/model/client.py
@@ -10,7 +10,7 @@
 from frostfall.model.member import Incarnation, Member
 from frostfall.model.requests import ClientConnection
 from frostfall.model.schedule import HEAL_AT, Operation
-from frostfall.protocol.pg import READY
+from frostfall.protocol.pg import READY_FOR_QUERY
 
 WAIT_MS = 1500  # milliseconds that the program may take, as the query says
 PATIENCE = WAIT_MS / 1000 + 0.5  # seconds that the client waits for an answer
@@ -78,7 +78,7 @@
                         await client.answered.wait()
         for answer in client.answers or [b""]:
             outcome = outcome_of(answer)
-            value = answer[: -len(READY)].decode() if outcome is Outcome.SERVED else ""
+            value = answer[: -len(READY_FOR_QUERY)].decode() if outcome is Outcome.SERVED else ""
             self._environment.record(
                 "answered", op=operation.name, id=request, what=outcome.value, value=value
             )
--- a/frostfall/model/member.py
+++ b/frostfall/model/member.py
@@ -18,15 +18,15 @@
 from frostfall.model.upstream import SimulatedServer
 from frostfall.net.member_transport import MemberConnection, MemberListener
 from frostfall.net.recovery import Dependencies, GroupMember
-from frostfall.protocol.ending import Final
-from frostfall.protocol.listing import Entry, Listing
+from frostfall.protocol.attempt_result import FinalOutcome
+from frostfall.protocol.discovery import Endpoint, EndpointListUpdate
 from frostfall.protocol.member_messages import Heartbeat
 from frostfall.protocol.statement import Statement, parse
 
 MIN_DISK_DELAY = 0.0001  # seconds of a file operation
 MAX_DISK_DELAY = 0.004  # seconds of a file operation
 STALL_CHECK_INTERVAL = 0.02  # seconds
-ENDPOINTS = Listing(1, True, [Entry("s-0", "127.0.0.1:9", "in_service", "a", 0, 1.0, 0.0, 1)])
+ENDPOINTS = EndpointListUpdate(1, True, [Endpoint("s-0", "127.0.0.1:9", "in_service", "a", 0, 1.0, 0.0, 1)])
 
 Result = TypeVar("Result")
 Arguments = TypeVarTuple("Arguments")
@@ -89,7 +89,7 @@
         """End, because a later incarnation exists."""
         self.replaced = True
 
-    def conclude(self, request: str, answer: bytes, end: Final) -> None:
+    def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
         """Finish a request whose end the record has found out."""
         if self._dispatcher is not None:
             self._dispatcher.conclude(request, answer, end)
--- a/frostfall/model/upstream.py
+++ b/frostfall/model/upstream.py
@@ -6,8 +6,8 @@
 
 from frostfall.model.environment import Environment
 from frostfall.model.schedule import Operation
-from frostfall.protocol.ending import Ending, Progress
-from frostfall.protocol.pg_client import Refusal, Row
+from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
+from frostfall.protocol.pg_client import ErrorAnswer, Row
 from frostfall.protocol.statement import Statement
 
 MIN_DELAY = 0.0002  # seconds to the server
@@ -25,14 +25,14 @@
         self._environment = environment
         self._service_times = {operation.name: operation.service_time for operation in operations}
 
-    async def execute(self, statement: Statement) -> Ending:
+    async def execute(self, statement: Statement) -> AttemptResult:
         """Carry out one attempt; the request counts as written from the call on."""
         operation = statement.field("op")
         environment = self._environment
         delay = environment.random.uniform(MIN_DELAY, MAX_DELAY)
         if environment.random.random() < REJECTED_SHARE:
             await anyio.sleep(delay)
-            return Ending(Progress.WRITTEN, Refusal(TOO_MANY_CONNECTIONS))
+            return AttemptResult(AttemptProgress.WRITTEN, ErrorAnswer(TOO_MANY_CONNECTIONS))
         done = anyio.Event()
 
         async def execute_once() -> None:
@@ -43,4 +43,6 @@
 
         environment.tasks.start_soon(execute_once)
         await done.wait()
-        return Ending(Progress.ANSWERING, Row(b"D" + operation.encode() + b"@" + statement.request.encode()))
+        return AttemptResult(
+            AttemptProgress.ANSWERING, Row(b"D" + operation.encode() + b"@" + statement.request.encode())
+        )
--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -37,9 +37,9 @@
 from frostfall.net.supervision import keep_running
 from frostfall.net.upstream_pool import UpstreamPool
 from frostfall.policy import drain
-from frostfall.protocol.ending import Final
-from frostfall.protocol.listing import Listing
-from frostfall.protocol.pg_server import failed, refused
+from frostfall.protocol.attempt_result import FinalOutcome
+from frostfall.protocol.discovery import EndpointListUpdate
+from frostfall.protocol.pg_server import failure_answer, rejection_answer
 
 if TYPE_CHECKING:
     from frostfall.net.recovery import GroupMember
@@ -156,7 +156,7 @@
         """Hand an event to the policy engine; events posted meanwhile follow one at a time."""
         self._driver.post(event)
 
-    def conclude(self, request: str, answer: bytes, end: Final) -> None:
+    def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
         """Give a request its final answer, whatever the engine has in flight for it."""
         self.requests.conclude(request, answer, end)
 
@@ -170,9 +170,9 @@
             case api.CancelAttempt(request, attempt):
                 self.requests.cancel_attempt(request, attempt)
             case api.RejectRequest(request, retry_after):
-                self.requests.finish(request, refused(retry_after // 1000), Final.REFUSED)
+                self.requests.finish(request, rejection_answer(retry_after // 1000), FinalOutcome.REJECTED)
             case api.FailRequest(request):
-                self.requests.finish(request, failed(), Final.FAILED)
+                self.requests.finish(request, failure_answer(), FinalOutcome.FAILED)
             case api.SetTimer(delay, token):
                 self._timers.schedule(delay, token)
             case api.SendGossip(peer, text):
@@ -193,7 +193,7 @@
 
     # ---- reports of the drivers --------------------------------------------------------------------
 
-    def list_received(self, listing: Listing) -> None:
+    def list_received(self, listing: EndpointListUpdate) -> None:
         """Adopt an endpoint list, or a change of it, that discovery sent."""
         self._list_received = True
         self._apply_list(listing, api.ServerListKind.COMPLETE if listing.reset else api.ServerListKind.DELTA)
@@ -205,11 +205,11 @@
         else:
             self.post(event)
 
-    def _cached_list_read(self, listing: Listing) -> None:
+    def _cached_list_read(self, listing: EndpointListUpdate) -> None:
         if not self._list_received:
             self._apply_list(listing, api.ServerListKind.CACHED)
 
-    def _apply_list(self, listing: Listing, kind: api.ServerListKind) -> None:
+    def _apply_list(self, listing: EndpointListUpdate, kind: api.ServerListKind) -> None:
         event = self.endpoints.apply(listing, kind)
         self.upstream_pool.retain_addresses(set(self.endpoints.by_server.values()))
         if self._group_member:
--- a/frostfall/net/client_connection.py
+++ b/frostfall/net/client_connection.py
@@ -19,7 +19,7 @@
 from frostfall.net.request_trace import Step
 from frostfall.net.streams import STREAM_ERRORS, Stream
 from frostfall.protocol import pg, pg_server
-from frostfall.protocol.pg_server import Closed, Query, Reply, ServerSide
+from frostfall.protocol.pg_server import Closed, Query, Reply, ServerProtocol
 
 IDLE_CLOSE_SECONDS = 2.0  # without an open request, a connection may be closed then, by the protocol
 CHECK_INTERVAL_SECONDS = 0.25  # between checks of a client that owes something or is owed something
@@ -59,7 +59,7 @@
         self._stream = stream
         self._handler = handler
         self._owner = owner
-        self._machine = ServerSide()
+        self._machine = ServerProtocol()
         self._deficit = DeficitCounter(owner.slow_peers.options.turn)
         self._output = ClientOutput(stream, owner, lambda: owner.slow_peers.options.turn.size)
         self._answered = anyio.Event()
@@ -106,10 +106,10 @@
         """Answer what was read, as far as the kernel takes it: the connection ends before its time."""
         try:
             if self._machine.busy:
-                self.answer(pg_server.failed())
+                self.answer(pg_server.failure_answer())
             while isinstance(self._machine.next_event(), Query):
                 self._pending.accept(self)
-                self.answer(pg_server.refused(0))
+                self.answer(pg_server.rejection_answer(0))
         except Exception:  # a fault must not keep the stream from being closed
             _log.exception("last answers failed", connection=self.number)
 
@@ -146,7 +146,7 @@
         self.request = None
         self._was_answered = True
         self.last_used_at = monotonic()
-        self._machine.answered()
+        self._machine.mark_answered()
         self._pending.answered(self)
         self._send(data)
         if self.draining and not self._machine.buffered:
@@ -175,13 +175,13 @@
         if self._closing or self._disconnected or self._machine.closed:
             return
         if self._machine.busy:
-            self.answer(pg_server.failed())
+            self.answer(pg_server.failure_answer())
         while isinstance(event := self._machine.next_event(), Query):
             self._pending.accept(self)
             self._trace_rejection(RejectReason.SHUTDOWN)
-            self.answer(pg_server.refused(0))
+            self.answer(pg_server.rejection_answer(0))
         if event is None and self._machine.buffered:
-            self._send(self._machine.reject_partial().data)
+            self._send(self._machine.reject_partial_query().data)
         self._begin_closing(CloseReason.SHUTDOWN)
 
     def cut_off(self) -> None:
@@ -204,7 +204,7 @@
         if self._disconnected or not self._owner.is_open(self):
             return None
         unread_by_client = len(self._output)
-        if self._owner.slow_peers.watches_clients:
+        if self._owner.slow_peers.monitors_clients:
             unread_by_client += self._stream.unacknowledged_bytes
             self._check_reading(now, unread_by_client)
             if self._disconnected:
@@ -241,7 +241,7 @@
             if not reason:
                 return CHECK_INTERVAL_SECONDS
             detector.shed_counter.record(reason, self.source)
-            self._reject(pg.Malformed.SILENT)
+            self._reject(pg.MalformedReason.SILENT)
         elif not self._has_queried or partial_since is not None:
             silent_since = self._monitored_since
             if self._has_queried and partial_since is not None:
@@ -252,7 +252,7 @@
             if self.draining and partial_since is None:
                 self.begin_close(CloseReason.SILENT)
             else:
-                self._reject(pg.Malformed.SILENT)
+                self._reject(pg.MalformedReason.SILENT)
         return None
 
     # ---- output ------------------------------------------------------------------------------------
@@ -266,30 +266,30 @@
         self._pending.client_left(self)
         self._scope.cancel()
 
-    def _reject(self, why: pg.Malformed, text: str | None = None) -> None:
+    def _reject(self, why: pg.MalformedReason, text: str | None = None) -> None:
         """End the connection of a client that does not speak the protocol, with a last error."""
         self._owner.malformed_counts[text or why.value] += 1
-        self._send(self._machine.refuse(why, text).data)
-        self._begin_closing(CloseReason.SILENT if why is pg.Malformed.SILENT else CloseReason.MALFORMED)
+        self._send(self._machine.close_malformed(why, text).data)
+        self._begin_closing(CloseReason.SILENT if why is pg.MalformedReason.SILENT else CloseReason.MALFORMED)
 
     def _reject_query(self, fault: str) -> None:
         """Answer a query that cannot be served, and end the connection behind what was read with it."""
-        self._machine.answered()
+        self._machine.mark_answered()
         self._pending.answered(self)
         if not self._machine.buffered:
-            self._reject(pg.Malformed.TEXT, fault)
+            self._reject(pg.MalformedReason.TEXT, fault)
             return
         self._owner.malformed_counts[fault] += 1
         self.draining = True
         self._close_reason = CloseReason.MALFORMED
-        self._send(pg_server.malformed(fault))
+        self._send(pg_server.malformed_query_answer(fault))
 
     def _send(self, data: bytes) -> None:
         """Write data, or queue what the kernel does not take."""
         if self._disconnected or not data:
             return
         self.progress.bytes_written += len(data)
-        if self._owner.slow_peers.watches_clients:
+        if self._owner.slow_peers.monitors_clients:
             self._owner.monitor.schedule(self, CHECK_INTERVAL_SECONDS)
         try:
             must_flush = self._output.write(data)
@@ -313,7 +313,7 @@
         if self._closing or self._disconnected:
             return
         if not self._pending.may_close(self):
-            self.answer(pg_server.failed())
+            self.answer(pg_server.failure_answer())
         self._closing = True
         self._close_reason = reason
         self._owner.mark_closing(self)
@@ -346,7 +346,7 @@
     async def _read(self) -> None:
         """Read until the connection is to end, or the client has gone."""
         while not (self._machine.closed or self._closing or self._disconnected):
-            if self._machine.buffered > pg.READ_MOST and (self._machine.busy or self._output):
+            if self._machine.buffered > pg.MAX_READ_BYTES and (self._machine.busy or self._output):
                 await self._wait_until_caught_up()  # a client that pipelines waits for its answers
                 continue
             try:
@@ -371,8 +371,9 @@
         machine = self._machine
         is_partial = machine.buffered and not (machine.busy or self._is_throttled or machine.closed)
         if is_partial and machine.buffered > SMALL_BUFFER_BYTES and self._owner.memory_exceeded:
-            machine.refuse(pg.Malformed.OVERSIZE)  # a query half read was not accepted, so it may be rejected
-            self._send(pg_server.refused(0))
+            # a query half read was not accepted, so it may be rejected
+            machine.close_malformed(pg.MalformedReason.OVERSIZE)
+            self._send(pg_server.rejection_answer(0))
             self._begin_closing(CloseReason.OVERSIZE)
         elif self.draining and self.can_close:
             self.begin_close(CloseReason.DRAINED)
@@ -398,7 +399,7 @@
         if self._processing:  # a query may be answered at once, from inside this loop
             return False
         self._processing = True
-        self._deficit.begin_turn()
+        self._deficit.add_quantum()
         try:
             while self._deficit.may_continue:
                 before = self._machine.buffered
@@ -427,7 +428,7 @@
         match event:
             case Reply(data):
                 self._send(data)
-                if data == pg_server.EMPTY:
+                if data == pg_server.EMPTY_QUERY_RESPONSE:
                     self._has_queried = self._was_answered = True
                     self._owner.mark_active(self)
                     self._owner.mark_idle(self)
@@ -445,10 +446,10 @@
         self._pending.accept(self)
         if not self._pending.admitting:
             self._trace_rejection(RejectReason.DRAINING)
-            self.answer(pg_server.refused(0))
+            self.answer(pg_server.rejection_answer(0))
         elif self.is_overflow and not self._owner.promote(self):
             self._trace_rejection(RejectReason.OVERFLOW)
-            self.answer(pg_server.refused(0))
+            self.answer(pg_server.rejection_answer(0))
         elif fault := self._handler.handle_query(self, text):
             self._reject_query(fault)
         elif self.request is not None:
--- a/frostfall/net/discovery.py
+++ b/frostfall/net/discovery.py
@@ -10,7 +10,7 @@
 from frostfall.config import Address
 from frostfall.interface import WatchInterruption
 from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
-from frostfall.protocol.listing import CallFailed, Listing, Watch
+from frostfall.protocol.discovery import EndpointListUpdate, RequestFailed, Watch
 
 WAIT_FRACTION = 0.5  # of the time that the settings allow between polls: how long one call waits for a change
 MAX_WAIT_SECONDS = 4.0  # a silent watch counts as failed after six seconds, and a new call needs some of them
@@ -33,7 +33,7 @@
         address: Address,
         since: int | None,
         watch_renewal_period: int,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[EndpointListUpdate], None],
         on_failure: Callable[[], None],
         auto_restart: bool = False,
         on_interruption: Callable[[WatchInterruption], None] = lambda reason: None,
@@ -139,8 +139,8 @@
                 # A call whose answer has been read is not ended by its cancelled scope any more.
                 return "process stopped"
             self._wants_answer = False
-            if isinstance(answer, CallFailed):
-                return answer.why
+            if isinstance(answer, RequestFailed):
+                return answer.reason
             # The answer may have been read just as the address changed. It still counts, but its generation
             # is the old service's, and of the new one the complete list is wanted.
             moved = scope.cancel_called
@@ -158,12 +158,14 @@
             if not watch.reusable:
                 return None
 
-    async def _call(self, stream: Stream, watch: Watch, limit: float) -> Listing | CallFailed | None:
+    async def _call(
+        self, stream: Stream, watch: Watch, limit: float
+    ) -> EndpointListUpdate | RequestFailed | None:
         """One call's answer; None where none comes within so many seconds."""
         # After a silent call an answer is wanted soon, also where nothing has changed: it renews the lease.
         wait_seconds = CONFIRMING_WAIT_SECONDS if self._wants_answer else self._wait_seconds
         with anyio.move_on_after(limit):
-            await stream.send(watch.call(self._since, int(wait_seconds * 1000)))
+            await stream.send(watch.encode_request(self._since, int(wait_seconds * 1000)))
             while True:
                 try:
                     data = await stream.receive()
--- a/frostfall/net/endpoints.py
+++ b/frostfall/net/endpoints.py
@@ -7,8 +7,8 @@
 from frostfall import interface as api
 from frostfall import log
 from frostfall.config import Address, ConfigError, parse_address
-from frostfall.protocol import entries
-from frostfall.protocol.listing import Listing
+from frostfall.protocol import endpoint_adapter
+from frostfall.protocol.discovery import EndpointListUpdate
 
 _log = log.get_logger("agent")
 
@@ -33,9 +33,9 @@
         """All usable addresses, by server id."""
         return self._addresses
 
-    def apply(self, listing: Listing, kind: api.ServerListKind) -> api.ServerListUpdated:
+    def apply(self, listing: EndpointListUpdate, kind: api.ServerListKind) -> api.ServerListUpdated:
         """Adopt a list, or a change of one with `DELTA`; the event that reports it to the engine."""
-        event = entries.listed(listing, kind)
+        event = endpoint_adapter.to_list_update(listing, kind)
         if kind is not api.ServerListKind.DELTA:
             self._addresses.clear()
         for entry, server in zip(listing.instances, event.servers):
--- a/frostfall/net/operations/context.py
+++ b/frostfall/net/operations/context.py
@@ -14,9 +14,9 @@
 from frostfall.net.member_transport import MemberConnection
 from frostfall.net.operations.interfaces import RequestHandler
 from frostfall.net.replication import ReplicationDriver
-from frostfall.protocol.ending import Final
-from frostfall.protocol.pg import READY
-from frostfall.protocol.pg_server import failed, refused
+from frostfall.protocol.attempt_result import FinalOutcome
+from frostfall.protocol.pg import READY_FOR_QUERY
+from frostfall.protocol.pg_server import failure_answer, rejection_answer
 from frostfall.recovery.operation_log import OperationLog, OperationResult
 from frostfall.recovery.readiness import Readiness, ReadinessInputs
 from frostfall.recovery.retry_after import RetryAfterJitter
@@ -65,16 +65,18 @@
 
     def rejection(self) -> bytes:
         """The answer to an attempt that a client may safely retry, with the time after which to do so."""
-        return refused(int(self.retry_after.next_delay(self.monotonic_clock()) * MILLISECONDS))
+        return rejection_answer(int(self.retry_after.next_delay(self.monotonic_clock()) * MILLISECONDS))
 
     def conclude(self, request: str, result: OperationResult | None) -> None:
         """Answer a request with the result of its operation; None: it may have run."""
         served = result is not None and result.is_answered
-        self.handler.conclude(request, encode_result(result), Final.SERVED if served else Final.FAILED)
+        self.handler.conclude(
+            request, encode_result(result), FinalOutcome.SERVED if served else FinalOutcome.FAILED
+        )
 
 
 def encode_result(result: OperationResult | None) -> bytes:
     """The answer to a client: the operation's own where it is known, else that it may have run."""
     if result is not None and result.is_answered and result.answer is not None:
-        return result.answer + READY
-    return failed()
+        return result.answer + READY_FOR_QUERY
+    return failure_answer()
--- a/frostfall/net/operations/coordinator.py
+++ b/frostfall/net/operations/coordinator.py
@@ -13,10 +13,10 @@
 from frostfall.net.operations.interfaces import ClientAttempt, WaitingClient
 from frostfall.net.operations.peer_poll import PeerPoll
 from frostfall.net.operations.settlement import OperationSettlement
-from frostfall.protocol.ending import Ending, Final
-from frostfall.protocol.pg import READY
+from frostfall.protocol.attempt_result import AttemptResult, FinalOutcome
+from frostfall.protocol.pg import READY_FOR_QUERY
 from frostfall.protocol.pg_client import Row
-from frostfall.protocol.pg_server import failed
+from frostfall.protocol.pg_server import failure_answer
 from frostfall.protocol.statement import Statement
 from frostfall.recovery.operation_log import (
     MAX_NAME_BYTES,
@@ -56,13 +56,13 @@
             return self._reject_unless_ready(idempotency, client)
         name = self._operation_name(statement)
         if len(name.encode()) > MAX_NAME_BYTES:
-            client.answer(failed())
+            client.answer(failure_answer())
             return True
         try:
             admission = self._admit(name, statement)
         except (OSError, ValueError) as error:
             self._context.on_unreadable(error)
-            client.answer(failed())
+            client.answer(failure_answer())
             return True
         match admission.decision:
             case AdmissionDecision.REPLAY:
@@ -70,7 +70,7 @@
             case AdmissionDecision.RETRY:
                 # It never ran here, but an earlier attempt may have run at another member.
                 may_have_run = self._may_be_retry(statement)
-                client.answer(failed() if may_have_run else self._context.rejection())
+                client.answer(failure_answer() if may_have_run else self._context.rejection())
             case AdmissionDecision.JOIN:
                 self._join(name, ClientAttempt(client, statement.request), deadline)
             case AdmissionDecision.START | AdmissionDecision.POLL_PEERS:
@@ -145,7 +145,7 @@
     def _look_up(self, name: str, attempt: ClientAttempt, deadline: int) -> None:
         """Answer an attempt with what other members know; without any, that it may have run."""
         if not (self._context.task_group and self._context.connections):
-            attempt.client.answer(failed())
+            attempt.client.answer(failure_answer())
             return
 
         async def look_up() -> None:
@@ -162,7 +162,7 @@
             await anyio.sleep(self._context.seconds_left(deadline))
             if attempt in operation.waiters:
                 operation.waiters.remove(attempt)
-                attempt.notify(failed())
+                attempt.notify(failure_answer())
 
         if self._context.task_group:
             self._context.task_group.start_soon(expire)
@@ -196,7 +196,7 @@
             return True
         return await self._authorizer.authorize(request, operation, is_over, deadline)
 
-    def attempt_ended(self, request: str, ending: Ending) -> None:
+    def attempt_ended(self, request: str, ending: AttemptResult) -> None:
         """An attempt has ended, also one whose request is done."""
         operation = self._operations.get(request)
         if operation is None:
@@ -207,7 +207,7 @@
             operation.may_have_run = True
 
     def finish_request(
-        self, request: str, answer: bytes, end: Final, client: WaitingClient, over: bool
+        self, request: str, answer: bytes, end: FinalOutcome, client: WaitingClient, over: bool
     ) -> None:
         """Give a request's final answer: at once, but a non-idempotent one's that was served once durable.
 
@@ -219,13 +219,13 @@
             return
         if over:
             del self._operations[request]
-        if end is Final.SERVED:
+        if end is FinalOutcome.SERVED:
             self._finish_served(operation, attempt, answer)
             return
-        if end is Final.REFUSED and operation.needs_poll and not operation.confirmed_absent:
+        if end is FinalOutcome.REJECTED and operation.needs_poll and not operation.confirmed_absent:
             self._refuse_if_absent(operation, attempt, answer)
             return
-        has_run = end is Final.FAILED and operation.dispatched
+        has_run = end is FinalOutcome.FAILED and operation.dispatched
         self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
         attempt.notify(answer)
         self._endings.notify(operation, answer)
@@ -250,12 +250,12 @@
         if self._context.task_group:
             self._context.task_group.start_soon(poll_and_answer)
         else:
-            self._endings.notify(operation, failed())
+            self._endings.notify(operation, failure_answer())
 
     def _finish_served(self, operation: Operation, attempt: ClientAttempt, answer: bytes) -> None:
         if self._context.operation_log.is_in_progress(operation):
             operation.waiters.insert(0, attempt)
-            self._endings.end(operation, RecordState.SERVED, answer[: -len(READY)])
+            self._endings.end(operation, RecordState.SERVED, answer[: -len(READY_FOR_QUERY)])
         else:  # it was served by another member
             attempt.notify(answer)
             self._endings.notify(operation, answer)
@@ -267,4 +267,4 @@
             # its client disconnected before the operation ended
             has_run = operation.may_have_run
             self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
-            self._endings.notify(operation, failed())
+            self._endings.notify(operation, failure_answer())
--- a/frostfall/net/operations/dispatch.py
+++ b/frostfall/net/operations/dispatch.py
@@ -10,8 +10,8 @@
 from frostfall.net.operations.endings import OperationEndings
 from frostfall.net.operations.peer_poll import POLL_INTERVAL, PeerPoll, PollReplies, incarnations_agreed
 from frostfall.net.operations.settlement import OperationSettlement
-from frostfall.protocol.ending import Final
-from frostfall.protocol.pg_server import failed
+from frostfall.protocol.attempt_result import FinalOutcome
+from frostfall.protocol.pg_server import failure_answer
 from frostfall.recovery.operation_log import Operation, OperationResult, OperationStatus
 from frostfall.replication.replica_store import ReplicaUpdate
 from frostfall.storage.segment_codec import RecordState
@@ -113,9 +113,9 @@
         if operation.fenced:  # other members have settled the operation, and know its result
             await self._answer_from_elsewhere(request, operation, deadline)
         elif operation.confirmed_absent or not operation.needs_poll:
-            self._context.handler.conclude(request, self._context.rejection(), Final.REFUSED)
+            self._context.handler.conclude(request, self._context.rejection(), FinalOutcome.REJECTED)
         else:
-            self._context.handler.conclude(request, failed(), Final.FAILED)
+            self._context.handler.conclude(request, failure_answer(), FinalOutcome.FAILED)
 
     async def _answer_from_elsewhere(self, request: str, operation: Operation, deadline: int) -> None:
         """Give a request what others know of its operation, which must not be begun here."""
--- a/frostfall/net/operations/endings.py
+++ b/frostfall/net/operations/endings.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from frostfall.net.operations.context import OperationContext
-from frostfall.protocol.pg import READY
-from frostfall.protocol.pg_server import failed
+from frostfall.protocol.pg import READY_FOR_QUERY
+from frostfall.protocol.pg_server import failure_answer
 from frostfall.recovery.operation_log import Operation
 from frostfall.replication.replica_store import ReplicaUpdate
 from frostfall.storage.segment_codec import RecordState
@@ -28,7 +28,7 @@
         if ticket:
             self._finish_when_durable(operation, ticket, answer)
         elif answer is not None:
-            self.notify(operation, answer + READY)
+            self.notify(operation, answer + READY_FOR_QUERY)
 
     def _finish_when_durable(self, operation: Operation, ticket: int, answer: bytes | None) -> None:
         def on_durable(good: bool) -> None:
@@ -51,7 +51,7 @@
         if self._context.replication and self._context.task_group:
             self._context.task_group.start_soon(self._notify_once_replicated, operation, answer)
         else:
-            self.notify(operation, answer + READY)
+            self.notify(operation, answer + READY_FOR_QUERY)
 
     async def _notify_once_replicated(self, operation: Operation, answer: bytes) -> None:
         """Give an answer once enough replica holders have it."""
@@ -66,7 +66,7 @@
 
         # Where others have settled it meanwhile, they reported that it may have run: so does this answer.
         replicated = await context.replication.quorum_write(update, expired, {})
-        self.notify(operation, answer + READY if replicated else failed())
+        self.notify(operation, answer + READY_FOR_QUERY if replicated else failure_answer())
 
     def notify(self, operation: Operation, answer: bytes) -> None:
         """Give the final answer to all clients that wait for an operation."""
--- a/frostfall/net/operations/interfaces.py
+++ b/frostfall/net/operations/interfaces.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from frostfall import interface as api
-from frostfall.protocol.ending import Final
+from frostfall.protocol.attempt_result import FinalOutcome
 
 
 class WaitingClient(Protocol):
@@ -24,7 +24,7 @@
     def post(self, event: api.Event) -> None:
         """Post an event to the decision module."""
 
-    def conclude(self, request: str, answer: bytes, end: Final) -> None:
+    def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
         """Give a request its final answer, whatever the decision module has in flight for it."""
 
     def stop(self) -> None:
--- a/frostfall/net/recovery/endpoint_cache.py
+++ b/frostfall/net/recovery/endpoint_cache.py
@@ -9,7 +9,7 @@
 
 from frostfall import log
 from frostfall.net.recovery.core import MemberCore
-from frostfall.protocol.listing import Entry, Listing
+from frostfall.protocol.discovery import Endpoint, EndpointListUpdate
 from frostfall.recovery.metadata import CachedEndpointList, MetadataRecord
 from frostfall.recovery.readiness import ReadinessStage
 
@@ -18,30 +18,30 @@
 _log = log.get_logger("recovery")
 
 
-def _ignore(listing: Listing) -> None:
+def _ignore(listing: EndpointListUpdate) -> None:
     """Nobody takes lists yet."""
 
 
 class EndpointCache:
     """Owns the endpoint list, and the newest cached one until discovery has sent its own."""
 
-    def __init__(self, core: MemberCore, configured: Listing, zone: str) -> None:
+    def __init__(self, core: MemberCore, configured: EndpointListUpdate, zone: str) -> None:
         """`configured`: the cached list of the configuration; `zone`: this agent's own."""
         self._core = core
         self._zone = zone
         self._unconfirmed = configured  # the newest list that discovery has not confirmed
         self._stored: CachedEndpointList | None = None
-        self._entries: dict[str, Entry] = {}  # by instance, as discovery sent them
+        self._entries: dict[str, Endpoint] = {}  # by instance, as discovery sent them
         self._generation = 0
         self._needs_save = False
-        self._publish: Callable[[Listing], None] = _ignore
+        self._publish: Callable[[EndpointListUpdate], None] = _ignore
 
     @property
     def advertised_generation(self) -> int:
         """The generation that members are told: only a list received from discovery has one."""
         return self._generation if self._core.inputs.endpoint_list_received else NO_GENERATION
 
-    def publish_to(self, publish: Callable[[Listing], None]) -> None:
+    def publish_to(self, publish: Callable[[EndpointListUpdate], None]) -> None:
         """Hand over unconfirmed lists to `publish`."""
         self._publish = publish
 
@@ -61,7 +61,7 @@
         if self._stored is None:
             return
         try:
-            stored = msgspec.convert(self._stored.endpoint_list, Listing)
+            stored = msgspec.convert(self._stored.endpoint_list, EndpointListUpdate)
         except msgspec.ValidationError as error:
             _log.warning("cached endpoint list unreadable", reason=str(error))
             return
@@ -81,7 +81,7 @@
 
     # ---- lists that come in ------------------------------------------------------------------------
 
-    def update(self, listing: Listing, *, cached: bool) -> None:
+    def update(self, listing: EndpointListUpdate, *, cached: bool) -> None:
         """Take over a list or changes of it; `cached`: it does not come from discovery."""
         inputs = self._core.inputs
         inputs.endpoint_list_known = inputs.endpoint_list_known or bool(listing.instances)
@@ -90,7 +90,7 @@
             self._apply(listing)
         self._core.changed.notify()
 
-    def _apply(self, listing: Listing) -> None:
+    def _apply(self, listing: EndpointListUpdate) -> None:
         if listing.reset:
             self._entries.clear()
         for entry in listing.instances:
@@ -112,7 +112,7 @@
         if raw is None or self._core.inputs.endpoint_list_received:
             return
         try:
-            received = msgspec.convert(raw, Listing)
+            received = msgspec.convert(raw, EndpointListUpdate)
         except msgspec.ValidationError as error:
             _log.warning("peer endpoint list unreadable", reason=str(error))
             return
@@ -130,16 +130,16 @@
         """Publish what may be used of the newest list that discovery has not confirmed."""
         self._publish(self.usable(self._unconfirmed))
 
-    def usable(self, listing: Listing) -> Listing:
+    def usable(self, listing: EndpointListUpdate) -> EndpointListUpdate:
         """What may be used of an unconfirmed list: the own zone's servers first, all once reads are ready."""
         if self._core.readiness.is_ready(ReadinessStage.READS):
             return listing
         in_zone = [entry for entry in listing.instances if entry.zone == self._zone]
-        return Listing(listing.generation, listing.reset, in_zone or listing.instances)
+        return EndpointListUpdate(listing.generation, listing.reset, in_zone or listing.instances)
 
     def to_builtins(self) -> Any:
         """The list as it is stored and sent to members."""
-        return msgspec.to_builtins(Listing(self._generation, True, list(self._entries.values())))
+        return msgspec.to_builtins(EndpointListUpdate(self._generation, True, list(self._entries.values())))
 
     def reply(self) -> Any:
         """The list as another member is given it; None before discovery has sent one."""
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -33,7 +33,7 @@
 from frostfall.net.recovery.status import StatusFields, StatusReporter
 from frostfall.net.recovery.vote_holds import VoteHoldDriver
 from frostfall.net.replication import ReplicationDriver
-from frostfall.protocol.listing import Listing
+from frostfall.protocol.discovery import EndpointListUpdate
 from frostfall.recovery.operation_log import OperationLog
 from frostfall.recovery.readiness import Readiness, ReadinessInputs
 from frostfall.recovery.retry_after import RetryAfterJitter
@@ -232,7 +232,7 @@
 
     # ---- running -----------------------------------------------------------------------------------
 
-    async def run(self, on_endpoint_list: Callable[[Listing], None]) -> None:
+    async def run(self, on_endpoint_list: Callable[[EndpointListUpdate], None]) -> None:
         """Replay the log, then run the member, for good; `on_endpoint_list` takes unconfirmed lists."""
         self._endpoints.publish_to(on_endpoint_list)
         self._readiness_driver.restart_clock()
@@ -314,11 +314,11 @@
         """What operators are shown."""
         return self._status.report()
 
-    def endpoints_changed(self, listing: Listing, cached: bool = False) -> None:
+    def endpoints_changed(self, listing: EndpointListUpdate, cached: bool = False) -> None:
         """The agent has taken over an endpoint list or changes of it; `cached`: not from discovery."""
         self._endpoints.update(listing, cached=cached)
 
-    def usable_endpoints(self, listing: Listing) -> Listing:
+    def usable_endpoints(self, listing: EndpointListUpdate) -> EndpointListUpdate:
         """What may be used of a list that discovery has not confirmed."""
         return self._endpoints.usable(listing)
 
--- a/frostfall/net/requests.py
+++ b/frostfall/net/requests.py
@@ -21,11 +21,11 @@
 from frostfall.net.upstream_connection import UpstreamAttempt
 from frostfall.net.upstream_pool import UpstreamPool
 from frostfall.policy.repeat_safety import WrittenAttempt, may_repeat
-from frostfall.protocol import entries, statement
-from frostfall.protocol.ending import Ending, Final, Progress
-from frostfall.protocol.pg import READY
+from frostfall.protocol import endpoint_adapter, statement
+from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult, FinalOutcome
+from frostfall.protocol.pg import READY_FOR_QUERY
 from frostfall.protocol.pg_client import Row
-from frostfall.protocol.pg_server import failed
+from frostfall.protocol.pg_server import failure_answer
 
 if TYPE_CHECKING:
     from frostfall.net.operations import OperationCoordinator
@@ -170,7 +170,7 @@
 
     # ---- answers -----------------------------------------------------------------------------------
 
-    def conclude(self, name: str, answer: bytes, end: Final) -> None:
+    def conclude(self, name: str, answer: bytes, end: FinalOutcome) -> None:
         """Give a request its final answer, whatever the engine has in flight for it."""
         if (known := self._requests.get(name)) and not known.done:
             self.finish(name, answer, end)
@@ -180,9 +180,9 @@
         """Fail the request that an event belongs to, if any, as the engine raised on that event."""
         name = getattr(event, "request", None)
         if isinstance(name, str) and name in self._requests:
-            self.finish(name, failed(), Final.FAILED)
+            self.finish(name, failure_answer(), FinalOutcome.FAILED)
 
-    def finish(self, name: str, answer: bytes, end: Final) -> None:
+    def finish(self, name: str, answer: bytes, end: FinalOutcome) -> None:
         """Answer a request; no effect on one that is answered already or unknown."""
         request = self._requests.get(name)
         if request is None or request.done:
@@ -261,7 +261,8 @@
             await self._run(dispatch)
         else:
             self._attempt_ended(
-                dispatch, Ending(Progress.NOT_WRITTEN, withheld=True, why="not to be written")
+                dispatch,
+                AttemptResult(AttemptProgress.NOT_WRITTEN, withheld=True, reason="not to be written"),
             )
 
     def _statement_to_write(self, dispatch: _Dispatch) -> bytes | None:
@@ -280,7 +281,7 @@
         dispatch.attempt.written_at = now
         if self._trace.enabled:
             self._trace.record(Step.ATTEMPT_WRITTEN, request=action.request, attempt=dispatch.number)
-        return request.statement.waiting((dispatch.deadline - now) // 1000)
+        return request.statement.with_wait((dispatch.deadline - now) // 1000)
 
     def _invariants_hold(self, dispatch: _Dispatch, now: int) -> bool:
         """The guard of each write: what must hold whatever the policies have decided."""
@@ -292,7 +293,7 @@
         earlier = [
             WrittenAttempt(attempt.written_at, attempt.outcome)
             for attempt in request.attempts
-            if attempt is not dispatch.attempt and attempt.progress >= Progress.WRITTEN
+            if attempt is not dispatch.attempt and attempt.progress >= AttemptProgress.WRITTEN
         ]
         is_safe = may_repeat(now, self._classes[request.statement.class_name], earlier)
         check = self._invariants.check
@@ -306,7 +307,7 @@
     def _trace_cancellation(self, name: str, reason: CancelReason) -> None:
         self._trace.record(Step.ATTEMPT_CANCELLED, request=name, reason=reason.value)
 
-    def _attempt_ended(self, dispatch: _Dispatch, ending: Ending) -> None:
+    def _attempt_ended(self, dispatch: _Dispatch, ending: AttemptResult) -> None:
         request, action = dispatch.request, dispatch.action
         request.in_flight -= 1
         name, outcome = action.request, ending.outcome
@@ -318,7 +319,7 @@
                 attempt=dispatch.number,
                 outcome=outcome.name,
                 progress=ending.progress.name,
-                why=ending.why,
+                why=ending.reason,
             )
         elif outcome is not api.Outcome.SUCCESS:
             _log.debug(
@@ -327,10 +328,10 @@
                 server=action.server,
                 outcome=outcome.name,
                 progress=ending.progress.name,
-                why=ending.why,
+                why=ending.reason,
             )
         if isinstance(ending.answer, Row):
-            self.finish(name, ending.answer.data + READY, Final.SERVED)
+            self.finish(name, ending.answer.data + READY_FOR_QUERY, FinalOutcome.SERVED)
         if self._operations:
             self._operations.attempt_ended(name, ending)
         elapsed = self._clock.now() - dispatch.started_at
@@ -342,9 +343,9 @@
         self._forget(name)
 
 
-def _load_report(ending: Ending) -> api.LoadReport | None:
+def _load_report(ending: AttemptResult) -> api.LoadReport | None:
     try:
-        return entries.load(ending.load)
+        return endpoint_adapter.parse_load_report(ending.load_report)
     except Exception:  # whatever a server reports, the attempt's end must be posted
         _log.exception("unreadable load report")
         return None
--- a/frostfall/net/rollout_client.py
+++ b/frostfall/net/rollout_client.py
@@ -12,7 +12,7 @@
 from frostfall.config import Address
 from frostfall.interface import CastVote, RolloutState, VoteReply
 from frostfall.net.streams import STREAM_ERRORS, Backoff, Stream, open_stream
-from frostfall.protocol import news, rpc
+from frostfall.protocol import rollout_messages, rpc
 
 HEARTBEAT_TIMEOUT_SECONDS = 3.5  # a ping comes every second
 MIN_BACKOFF_SECONDS = 0.1  # between connections that fail
@@ -56,7 +56,7 @@
     def cast_vote(self, action: CastVote) -> None:
         """Send a vote; its reply is handed on later."""
         if self._task_group is None or self._vote_tasks >= MAX_PENDING_VOTES:
-            self._on_state(news.without_state(action, VoteReply.ERROR))
+            self._on_state(rollout_messages.reply_without_state(action, VoteReply.ERROR))
         else:
             self._task_group.start_soon(self._run_vote, action)
 
@@ -78,7 +78,7 @@
     async def _listen(self) -> str:
         try:
             async with open_stream(self._address) as stream:
-                await stream.send(rpc.call(self._next_call_id(), news.LISTEN))
+                await stream.send(rpc.encode_call(self._next_call_id(), rollout_messages.LISTEN))
                 self._stream = stream
                 return await self._read(stream)
         except (OSError, *STREAM_ERRORS) as error:
@@ -90,7 +90,7 @@
             self._pending = {}
 
     async def _read(self, stream: Stream) -> str:
-        lines = rpc.Lines()
+        lines = rpc.LineReader()
         last_message_at = anyio.current_time()
         while True:
             data = b""
@@ -112,24 +112,30 @@
     def _handle_message(self, message: rpc.Incoming) -> str | None:
         """Act on a message; why it cannot be read, if so."""
         match message:
-            case rpc.Unreadable(why):
+            case rpc.MalformedLine(why):
                 return why
-            case rpc.Notification(news.NEWS, params):
-                state = news.read(params, VoteReply.NONE)
+            case rpc.Notification(rollout_messages.STATE_CHANGED, params):
+                state = rollout_messages.parse_state(params, VoteReply.NONE)
                 if isinstance(state, str):
                     return state
                 self._on_state(state)
             case rpc.Notification(method, _):
-                return None if method == news.PING else f"an unknown notification {method[:20]!r}"
+                return None if method == rollout_messages.PING else f"an unknown notification {method[:20]!r}"
             case rpc.Result(number, value) if vote := self._pending.get(number):
                 # Handed on from here, in the order of arrival: from the vote's own task the state would come
                 # after newer ones that were read with it; after the vote's timeout it would be lost.
-                state = news.read(value, VoteReply.NONE if vote.reported else VoteReply.COUNTED)
+                state = rollout_messages.parse_state(
+                    value, VoteReply.NONE if vote.reported else VoteReply.COUNTED
+                )
                 if isinstance(state, str):
                     return state
                 self._settle(number, vote, state)
             case rpc.Failure(number, text) if vote := self._pending.get(number):
-                self._settle(number, vote, news.without_state(vote.action, news.reply_to_error(text)))
+                self._settle(
+                    number,
+                    vote,
+                    rollout_messages.reply_without_state(vote.action, rollout_messages.reply_to_error(text)),
+                )
         return None
 
     def _settle(self, call_id: int, vote: _PendingVote, answer: RolloutState) -> None:
@@ -171,7 +177,11 @@
                     self._pending[call_id] = vote
                     reply = VoteReply.UNKNOWN  # from here on it may have been carried out
                     try:
-                        await stream.send(rpc.call(call_id, news.VERDICT, news.vote(action)))
+                        await stream.send(
+                            rpc.encode_call(
+                                call_id, rollout_messages.VERDICT, rollout_messages.vote_parameters(action)
+                            )
+                        )
                     except STREAM_ERRORS:
                         return
                 await vote.done.wait()
@@ -180,4 +190,4 @@
         finally:
             self._vote_tasks -= 1
             if not vote.reported:
-                self._report(vote, news.without_state(action, reply))
+                self._report(vote, rollout_messages.reply_without_state(action, reply))
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -16,7 +16,7 @@
 import anyio
 
 from frostfall.config import Address
-from frostfall.protocol.pg import READ_MOST
+from frostfall.protocol.pg import MAX_READ_BYTES
 
 LISTEN_BACKLOG = 512  # connections: a burst while the one core is busy elsewhere
 CONNECT_TIMEOUT_SECONDS = 1.0  # to services; upstream servers have a timeout in the settings
@@ -128,7 +128,7 @@
         """Wait until there is something to read, or the end; other tasks run first."""
         await anyio.wait_readable(self._raw)
 
-    def read(self, max_bytes: int = READ_MOST) -> bytes:
+    def read(self, max_bytes: int = MAX_READ_BYTES) -> bytes:
         """What has come by now, or nothing. At the end of the stream, one of STREAM_ERRORS."""
         try:
             data = self._raw.recv(max_bytes)
@@ -142,7 +142,7 @@
             raise anyio.EndOfStream
         return data
 
-    async def receive(self, max_bytes: int = READ_MOST) -> bytes:
+    async def receive(self, max_bytes: int = MAX_READ_BYTES) -> bytes:
         """Up to `max_bytes`, once there are any; other tasks run first. At the end, one of STREAM_ERRORS."""
         while True:
             await self.wait_readable()
--- a/frostfall/net/upstream_connection.py
+++ b/frostfall/net/upstream_connection.py
@@ -13,8 +13,8 @@
 from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
 from frostfall.net.connection_monitor import TICK_SECONDS, ConnectionMonitor, MonitoredConnection
 from frostfall.net.streams import SHORTAGE_PAUSE_SECONDS, STREAM_ERRORS, Stream
-from frostfall.protocol.ending import Ending, Progress
-from frostfall.protocol.pg_client import ClientSide, State
+from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
+from frostfall.protocol.pg_client import ClientProtocol, ConnectionState
 
 USER = "web"  # servers accept any user
 DATABASE = "orders"
@@ -34,7 +34,7 @@
         super().__init__()
         self.address = address
         self.stream = stream
-        self.machine = ClientSide(USER, DATABASE)
+        self.machine = ClientProtocol(USER, DATABASE)
         self.progress = ConnectionProgress()
         self.idle_since = 0  # microseconds of Unix time
         self.attempt: UpstreamAttempt | None = None  # the one in flight
@@ -50,7 +50,7 @@
     @property
     def is_answered(self) -> bool:
         """Whether no answer is awaited on it: none was asked for, or it has come."""
-        return self.machine.state in (State.READY, State.ANSWERED)
+        return self.machine.state in (ConnectionState.READY, ConnectionState.ANSWER_RECEIVED)
 
     def check(self, now: float) -> float | None:
         """Judge how the server takes the query and sends the answer; None between attempts."""
@@ -59,7 +59,7 @@
         reason = self._slow_peers.check_server_reading(
             self.progress, now, self.unwritten_bytes + self.stream.unacknowledged_bytes
         )
-        if reason is None and self.attempt.progress is Progress.ANSWERING:
+        if reason is None and self.attempt.progress is AttemptProgress.ANSWERING:
             reason = self._slow_peers.check_server_sending(self.progress, now)
             if self._slow_peers.suspects_server(self.progress, now):
                 self.attempt.mark_degraded()
@@ -77,35 +77,39 @@
 
     async def open(self) -> None:
         """Exchange the start-up messages; the machine is READY if the server accepts."""
-        await self.stream.send(self.machine.opening)
-        while self.machine.state is State.STARTING:
+        await self.stream.send(self.machine.startup_message)
+        while self.machine.state is ConnectionState.STARTING:
             self.machine.feed(await self.stream.receive())
 
-    async def exchange(self, attempt: UpstreamAttempt, get_statement: Callable[[], bytes | None]) -> Ending:
+    async def exchange(
+        self, attempt: UpstreamAttempt, get_statement: Callable[[], bytes | None]
+    ) -> AttemptResult:
         """Write a query and read its answer; `get_statement` gives None where it must not go out."""
         machine, progress = self.machine, self.progress
         self.attempt = attempt
-        attempt.progress, progress.partial_since = Progress.NOT_WRITTEN, None
+        attempt.progress, progress.partial_since = AttemptProgress.NOT_WRITTEN, None
         if (text := get_statement()) is None:
-            return Ending(Progress.NOT_WRITTEN, withheld=True, why="withdrawn before it was written")
+            return AttemptResult(
+                AttemptProgress.NOT_WRITTEN, withheld=True, reason="withdrawn before it was written"
+            )
         try:
-            data = machine.ask(text)
+            data = machine.encode_query(text)
             progress.bytes_written += len(data)
             self.unwritten_bytes = len(data)
-            if self._slow_peers.watches_servers:
+            if self._slow_peers.monitors_servers:
                 self._start_monitoring(attempt)
             await self._write(attempt, data)
             while machine.answer is None:
                 received = await self.stream.receive()
-                if attempt.progress is not Progress.ANSWERING:
-                    attempt.progress = Progress.ANSWERING
+                if attempt.progress is not AttemptProgress.ANSWERING:
+                    attempt.progress = AttemptProgress.ANSWERING
                     progress.partial_since = self._monitor.now
                     progress.partial_start_bytes = progress.bytes_received
                 progress.bytes_received += len(received)
                 machine.feed(received)
         except STREAM_ERRORS as error:
-            return Ending(attempt.progress, why=repr(error))
-        return Ending(attempt.progress, machine.answer, load=machine.load)
+            return AttemptResult(attempt.progress, reason=repr(error))
+        return AttemptResult(attempt.progress, machine.answer, load_report=machine.load_report)
 
     def _start_monitoring(self, attempt: UpstreamAttempt) -> None:
         self.progress.class_name = attempt.class_name
@@ -125,7 +129,7 @@
             self.unwritten_bytes -= written
             if not written and self.unwritten_bytes:
                 await anyio.sleep(SHORTAGE_PAUSE_SECONDS)
-        attempt.progress = Progress.WRITTEN
+        attempt.progress = AttemptProgress.WRITTEN
 
 
 class UpstreamAttempt:
@@ -134,7 +138,7 @@
     def __init__(self, class_name: str = "", on_degraded: Callable[[], None] = lambda: None) -> None:
         """`on_degraded` is called once, if the server turns slow in the middle of this attempt."""
         self.class_name = class_name
-        self.progress = Progress.NO_CONNECTION
+        self.progress = AttemptProgress.NO_CONNECTION
         self.written_at = 0  # microseconds of the clock, once its first byte may go out
         self.outcome: Outcome | None = None  # once it has ended
         self.cancelled = False
@@ -160,12 +164,12 @@
         self.stall_reason = reason
         self.scope.cancel()
 
-    def interrupted_ending(self) -> Ending:
+    def interrupted_ending(self) -> AttemptResult:
         """The ending of an attempt whose scope has ended it."""
-        return Ending(
+        return AttemptResult(
             self.progress,
             cancelled=self.cancelled,
             stalled=self.stall_reason is not None,
             timed_out=not self.cancelled and self.stall_reason is None,
-            why=self.stall_reason.value if self.stall_reason else "",
+            reason=self.stall_reason.value if self.stall_reason else "",
         )
--- a/frostfall/net/upstream_pool.py
+++ b/frostfall/net/upstream_pool.py
@@ -16,8 +16,8 @@
 from frostfall.net.connection_monitor import ConnectionMonitor
 from frostfall.net.streams import STREAM_ERRORS, SocketBudget, connect
 from frostfall.net.upstream_connection import UpstreamAttempt, UpstreamConnection
-from frostfall.protocol.ending import Ending, Progress
-from frostfall.protocol.pg_client import Refusal, State
+from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
+from frostfall.protocol.pg_client import ConnectionState, ErrorAnswer
 
 IDLE_TIMEOUT_FRACTION = 0.75  # of the settings' timeout, at which the server closes or even before
 SOCKET_POLL_SECONDS = 0.005  # between looks for a free socket; answers take some tens of these
@@ -65,7 +65,7 @@
         address: Address,
         get_statement: Callable[[], bytes | None],
         deadline: int,
-        on_end: Callable[[Ending], None],
+        on_end: Callable[[AttemptResult], None],
     ) -> None:
         """Carry one attempt through and report its end, exactly once; the connection returns to the pool.
 
@@ -83,15 +83,15 @@
         address: Address,
         get_statement: Callable[[], bytes | None],
         deadline: int,
-        on_end: Callable[[Ending], None],
+        on_end: Callable[[AttemptResult], None],
     ) -> None:
         connection: UpstreamConnection | None = None
-        ending = Ending(Progress.NO_CONNECTION, why="failed")
+        ending = AttemptResult(AttemptProgress.NO_CONNECTION, reason="failed")
         try:
             with attempt.scope:
                 attempt.scope.deadline = anyio.current_time() + (deadline - self._clock.now()) / 1e6
                 acquired = await self._acquire(address)
-                if isinstance(acquired, Ending):
+                if isinstance(acquired, AttemptResult):
                     ending = acquired
                 else:
                     connection = acquired
@@ -103,7 +103,7 @@
             ending = attempt.interrupted_ending()
         except Exception as error:
             _log.exception("attempt failed")
-            ending = Ending(max(attempt.progress, Progress.WRITTEN), why=repr(error))
+            ending = AttemptResult(max(attempt.progress, AttemptProgress.WRITTEN), reason=repr(error))
             if connection is not None:
                 self._drop(connection)
                 connection = None
@@ -120,14 +120,14 @@
 
     # ---- connections -------------------------------------------------------------------------------
 
-    async def _acquire(self, address: Address) -> UpstreamConnection | Ending:
+    async def _acquire(self, address: Address) -> UpstreamConnection | AttemptResult:
         """A connection on which nothing is in flight; the attempt's ending where there is none."""
         if (connection := self._take_idle(address)) is not None:
             return connection
         opened = await self._open(address)
         if isinstance(opened, UpstreamConnection) and not opened.usable:
             self._drop(opened)
-            return Ending(Progress.NOT_WRITTEN, why="closed before it was used")
+            return AttemptResult(AttemptProgress.NOT_WRITTEN, reason="closed before it was used")
         return opened
 
     def _take_idle(self, address: Address) -> UpstreamConnection | None:
@@ -142,12 +142,12 @@
             self._drop(connection)
         return None
 
-    async def _open(self, address: Address) -> UpstreamConnection | Ending:
+    async def _open(self, address: Address) -> UpstreamConnection | AttemptResult:
         with anyio.move_on_after(self._connect_timeout):
             while self.sockets.exhausted and not self.evict_idle():
                 await anyio.sleep(SOCKET_POLL_SECONDS)
         if self.sockets.exhausted:
-            return Ending(Progress.NO_CONNECTION, why="no connection is free")
+            return AttemptResult(AttemptProgress.NO_CONNECTION, reason="no connection is free")
         self._count_sockets(1)
         connection: UpstreamConnection | None = None
         answer = None
@@ -159,7 +159,7 @@
                 if waiting := self._slow_peers.options.waiting:
                     stream.limit_send_buffer(waiting.kernel_bytes)
                 await connection.open()
-                if connection.machine.state is State.READY:
+                if connection.machine.state is ConnectionState.READY:
                     return connection
                 answer, why = connection.machine.answer, "turned away"
         except (OSError, *STREAM_ERRORS) as error:
@@ -167,18 +167,19 @@
         finally:
             if connection is None:
                 self._count_sockets(-1)
-            elif connection.machine.state is not State.READY:
+            elif connection.machine.state is not ConnectionState.READY:
                 self._drop(connection)
-        refusal = answer if isinstance(answer, Refusal) else None
-        return Ending(Progress.NO_CONNECTION, refusal, why=why)
+        refusal = answer if isinstance(answer, ErrorAnswer) else None
+        return AttemptResult(AttemptProgress.NO_CONNECTION, refusal, reason=why)
 
     async def _release(self, connection: UpstreamConnection) -> None:
         """Wait for the end of an answer, then keep the connection for the next request."""
         machine = connection.machine
         try:
-            if machine.state is State.ANSWERED:  # most often ReadyForQuery came with the answer
+            # most often ReadyForQuery came with the answer
+            if machine.state is ConnectionState.ANSWER_RECEIVED:
                 with anyio.move_on_after(self._connect_timeout):
-                    while machine.state is State.ANSWERED:
+                    while machine.state is ConnectionState.ANSWER_RECEIVED:
                         machine.feed(await connection.stream.receive())
         except STREAM_ERRORS:
             pass
--- a/frostfall/protocol/__init__.py
+++ b/frostfall/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Sans-I/O protocol machines: fed bytes, they give events and bytes to send; no socket, no clock."""
+"""Sans-I/O protocol machines: fed with bytes, they return events and bytes to send; no socket, no clock."""
--- a/frostfall/protocol/authenticated_channel.py
+++ b/frostfall/protocol/authenticated_channel.py
@@ -1,12 +1,12 @@
-"""Framing of a connection between members: bytes in and messages out, authenticated by a shared key. No I/O.
+"""Framing of a connection between members, authenticated by a shared key. No I/O.
 
     frame = u32 length (little endian), 16 bytes of BLAKE2b (RFC 7693) keyed for this connection and
     direction, body
 
-The accepting side sends a nonce of 16 random bytes first, in the clear; the initiator answers with its own
-and then sends frames. The key of each direction is derived from the shared key and both nonces. The checksum
-covers a count of the frames too, so that none can be replayed, dropped or reflected. Nothing is encrypted.
-After an error the connection has to be closed.
+The accepting side begins with a nonce of 16 random bytes in cleartext. The initiator answers with its own
+nonce and then sends frames. The key of each direction is derived from the shared key and both nonces. The
+checksum also covers the number of the frame, so that a frame that was replayed, dropped or reflected is
+detected. Nothing is encrypted. After an error the connection has to be closed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from frostfall.protocol.member_messages import MemberMessage, decode_message, encode_message
 
 NONCE_BYTES = 16
-MAX_FRAME_BYTES = 1024 * 1024  # of a frame's body
+MAX_FRAME_BYTES = 1024 * 1024  # limit of a frame's body
 
 _KEY_BYTES = 32
 _CHECKSUM_BYTES = 16
@@ -29,7 +29,7 @@
 
 
 class MemberProtocolError(Exception):
-    """What was received is no frame of a member of this group."""
+    """The received bytes are not a frame from a member of this group."""
 
 
 class FrameTooLargeError(MemberProtocolError):
@@ -37,15 +37,15 @@
 
 
 class AuthenticationError(MemberProtocolError):
-    """A frame's checksum is wrong: another key, or a frame replayed, dropped or reflected."""
+    """A frame's checksum is wrong: another key, or a frame was replayed, dropped or reflected."""
 
 
 class MalformedMessageError(MemberProtocolError):
-    """An authenticated frame does not hold a known message."""
+    """An authenticated frame contains no known message."""
 
 
 class ChannelStateError(RuntimeError):
-    """A frame was to be encoded before the other side's nonce had arrived: a fault of the caller."""
+    """A frame was encoded before the other side's nonce was received, which is a bug of the caller."""
 
 
 class _DirectionKeys(NamedTuple):
@@ -54,10 +54,10 @@
 
 
 class AuthenticatedChannel:
-    """One connection's frames in both directions."""
+    """Encodes and decodes the frames of one connection."""
 
     def __init__(self, shared_key: str, is_initiator: bool, own_nonce: bytes) -> None:
-        """`own_nonce` are NONCE_BYTES random bytes, which the caller has to send first."""
+        """`own_nonce` has NONCE_BYTES random bytes, which the caller has to send first."""
         self._shared_key = shared_key
         self._is_initiator = is_initiator
         self._own_nonce = own_nonce
@@ -68,11 +68,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the other side's nonce has arrived, so that frames can be sent."""
+        """Whether the other side's nonce has been received, so that frames can be sent."""
         return self._keys is not None
 
     def receive_data(self, data: bytes) -> list[MemberMessage]:
-        """Process received bytes and return the messages that are complete. Raises MemberProtocolError."""
+        """Process received bytes and return the complete messages. Raises MemberProtocolError."""
         self._buffer += data
         if self._keys is None:
             if len(self._buffer) < NONCE_BYTES:
@@ -84,31 +84,33 @@
             try:
                 messages.append(decode_message(body))
             except msgspec.MsgspecError as error:
-                raise MalformedMessageError(f"a frame that cannot be read: {error}") from None
+                raise MalformedMessageError(f"cannot decode the message in a frame: {error}") from None
         return messages
 
     def encode(self, message: MemberMessage) -> bytes:
-        """Return the frame of a message, which has to be sent in the order of the calls."""
+        """Encode a message as a frame. Frames have to be sent in the order in which they were encoded."""
         if self._keys is None:
-            raise ChannelStateError("the other side's nonce has not arrived")
+            raise ChannelStateError("cannot encode a frame before the other side's nonce has been received")
         body = encode_message(message)
         self._sent_count += 1
         return _FRAME_HEADER.pack(len(body), _checksum(self._keys.sending, self._sent_count, body)) + body
 
     def _next_body(self, receiving_key: bytes) -> bytes | None:
-        """Take the next frame out of the buffer; None where it is not complete."""
+        """Remove the next frame from the buffer and return its body; None if the frame is incomplete."""
         if len(self._buffer) < _FRAME_HEADER.size:
             return None
         length, checksum = _FRAME_HEADER.unpack_from(self._buffer)
         if length > MAX_FRAME_BYTES:
-            raise FrameTooLargeError("a frame over the limit")
+            raise FrameTooLargeError(f"a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
         end = _FRAME_HEADER.size + length
         if len(self._buffer) < end:
             return None
         body = bytes(self._buffer[_FRAME_HEADER.size : end])
         self._received_count += 1
         if not hmac.compare_digest(checksum, _checksum(receiving_key, self._received_count, body)):
-            raise AuthenticationError("a frame with another key")
+            raise AuthenticationError(
+                "wrong checksum of a frame: another key, or a frame was replayed, dropped or reflected"
+            )
         del self._buffer[:end]
         return body
 
--- a/frostfall/protocol/buffer.py
+++ b/frostfall/protocol/buffer.py
@@ -1,57 +1,57 @@
-"""The one buffer that a connection reads into."""
+"""The receive buffer of a connection."""
 
 from __future__ import annotations
 
-COMPACT_AT = 4096  # bytes already read that may lie in front before the rest is moved down in place
+COMPACTION_THRESHOLD_BYTES = 4096  # consumed bytes at the front at which the rest is moved down in place
 
 
-class Buffer:
-    """Grows as bytes come in, is compacted in place, and holds no more than its bound."""
+class ReceiveBuffer:
+    """A bounded FIFO of bytes, which grows as bytes are received and is compacted in place."""
 
-    def __init__(self, bound: int) -> None:
-        """Hold at most `bound` unread bytes."""
-        self.bound = bound
+    def __init__(self, capacity: int) -> None:
+        """Hold at most `capacity` unread bytes."""
+        self.capacity = capacity
         self._bytes = bytearray()
         self._start = 0
 
     def __len__(self) -> int:
-        """How many bytes are still unread."""
+        """The number of unread bytes."""
         return len(self._bytes) - self._start
 
     def feed(self, data: bytes) -> bool:
-        """Take bytes in; False where that goes over the bound, and nothing is taken."""
-        if len(self) + len(data) > self.bound:
+        """Append bytes; False if they exceed the capacity, in which case none is stored."""
+        if len(self) + len(data) > self.capacity:
             return False
         self._bytes += data
         return True
 
     def peek(self, count: int, offset: int = 0) -> bytes:
-        """Up to so many unread bytes, which stay unread."""
+        """Return up to `count` unread bytes from `offset` on, without consuming them."""
         first = self._start + offset
         return bytes(self._bytes[first : first + count])
 
-    def number(self, offset: int) -> int:
-        """The four unread bytes at an offset, which must be there, as a number."""
+    def peek_uint32(self, offset: int) -> int:
+        """Return the four unread bytes at `offset`, which must exist, as a big-endian number."""
         first = self._start + offset
         return int.from_bytes(self._bytes[first : first + 4])
 
-    def first(self) -> int:
-        """The first unread byte, which must be there."""
+    def peek_byte(self) -> int:
+        """Return the first unread byte, which must exist."""
         return self._bytes[self._start]
 
     def take(self, count: int) -> bytes:
-        """The next bytes, which must be there."""
+        """Consume and return the next `count` bytes, which must exist."""
         data = bytes(self._bytes[self._start : self._start + count])
         self._start += count
         if self._start == len(self._bytes):
             self._bytes.clear()
             self._start = 0
-        elif self._start >= COMPACT_AT:
+        elif self._start >= COMPACTION_THRESHOLD_BYTES:
             del self._bytes[: self._start]
             self._start = 0
         return data
 
-    def find(self, mark: bytes, offset: int = 0) -> int:
-        """How many unread bytes come before a mark at or after an offset; -1 where there is none."""
-        place = self._bytes.find(mark, self._start + offset)
-        return place - self._start if place >= 0 else -1
+    def find(self, delimiter: bytes, offset: int = 0) -> int:
+        """Return the offset of the first delimiter at or after `offset`; -1 if there is none."""
+        position = self._bytes.find(delimiter, self._start + offset)
+        return position - self._start if position >= 0 else -1
--- a/frostfall/protocol/member_messages.py
+++ b/frostfall/protocol/member_messages.py
@@ -1,7 +1,7 @@
-"""Messages between members of the group, as msgpack arrays: their tags and the order of fields are fixed.
+"""Messages between members of a group, encoded as msgpack arrays with fixed tags and order of fields.
 
-`protocol.authenticated_channel` frames them. A request carries a `request_id`, which its reply repeats.
-Incarnation tokens tell the receiver which run of the sender a message is from.
+`protocol.authenticated_channel` frames the messages. A reply repeats the `request_id` of its request.
+Incarnation tokens identify the run of the sender's process from which a message was sent.
 """
 
 from __future__ import annotations
@@ -17,28 +17,32 @@
 
 
 class Heartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """State of the sender, and what it has on disk of the receiver. The reply is a heartbeat too."""
+    """The sender's state, and what the sender has on disk about the receiver; answered by a heartbeat."""
 
     sender: str
     incarnation: int
-    durable_batch: int  # last batch of the sender's log that is durable
+    durable_batch: int  # number of the last durable batch of the sender's log
     incarnation_token: str
     wall_time: float  # seconds of Unix time by the sender's clock
-    readiness_stage: str  # that the sender waits for; "" once it is ready
-    incomplete_reason: str  # why the sender's log is incomplete; "" where it is not
-    startup_incarnation: tuple[int, int, str]  # number, batch and token that the sender's log ended with
-    recorded_incarnation: tuple[int, int, str]  # the same of the receiver, as the sender has it on disk
+    readiness_stage: str  # the stage for which the sender waits; "" once it is ready
+    incomplete_reason: str  # why the sender's log is incomplete; "" if it is complete
+    startup_incarnation: tuple[
+        int, int, str
+    ]  # number, batch and token at the end of the sender's log on startup
+    recorded_incarnation: tuple[int, int, str]  # the same for the receiver, from the sender's disk
     recorded_is_alive: bool  # whether the sender receives heartbeats of that incarnation
-    stale_reason: str  # why the sender holds the receiver's log for stale
+    stale_reason: str  # why the sender considers the receiver's log stale; "" if it does not
     request_id: int = 0  # 0 in a reply
-    endpoint_list_generation: int = -1  # of the newest list that the sender has from discovery
-    rolled_back_build: int = 0  # newest build that the sender knows to have been rolled back
-    operator_hold: tuple[int, str] = (0, "")  # serial number and operator of the sender's hold
-    recorded_operator_hold: tuple[int, str] = (0, "")  # the same of the receiver, as on the sender's disk
+    endpoint_list_generation: int = (
+        -1
+    )  # generation of the sender's newest list from discovery; -1 without one
+    rolled_back_build: int = 0  # newest build that has been rolled back, as far as recorded by the sender
+    operator_hold: tuple[int, str] = (0, "")  # serial number and operator of the sender's hold of votes
+    recorded_operator_hold: tuple[int, str] = (0, "")  # the same for the receiver, from the sender's disk
 
 
 class StatusQuery(msgspec.Struct, tag="ask", array_like=True):
-    """Ask what the receiver knows of some operations, whose intents the sender has on disk."""
+    """Query the receiver's status of operations, whose intents the sender has recorded on disk."""
 
     request_id: int
     operations: list[str]
@@ -50,13 +54,13 @@
     """Reply to StatusQuery and FencedRead."""
 
     request_id: int
-    statuses: list[tuple[str, bytes | None]]  # as queried: status, and the answer if it is known
+    statuses: list[tuple[str, bytes | None]]  # in the order of the query: status, and the answer if recorded
     incarnation_token: str = ""
-    recorded_tokens: dict[str, str] = {}  # of all other members, as the sender has them on disk
+    recorded_tokens: dict[str, str] = {}  # of all other members, from the sender's disk
 
 
 class ReplicateRequest(msgspec.Struct, tag="copy", array_like=True):
-    """Ask the receiver to keep a replica of an operation of the sender's."""
+    """Request that the receiver store a replica of one of the sender's operations."""
 
     request_id: int
     owner: str
@@ -67,34 +71,34 @@
 
 
 class ReplicateReply(msgspec.Struct, tag="copied", array_like=True):
-    """Reply to ReplicateRequest, once the replica is durable."""
+    """Reply to ReplicateRequest, sent once the replica is durable."""
 
     request_id: int
     rejected: bool  # a quorum has already settled the operation
-    incarnation_token: str = ""  # of the replica holder; "" where its record is not complete
-    stored: bool = True  # whether the replica is on disk at all
+    incarnation_token: str = ""  # of the replica holder; "" if its log is incomplete
+    stored: bool = True  # whether the replica is on disk
 
 
 class FencedRead(msgspec.Struct, tag="read", array_like=True):
-    """Ask what the receiver's replica of an owner's operation says."""
+    """Query the receiver's replica of an owner's operation."""
 
     request_id: int
     owner: str
     operation: str
-    fence: bool  # where there is no replica, never accept one from now on
+    fence: bool  # if there is no replica, the receiver has to reject any later one
     sender: str
     incarnation_token: str
 
 
 class DigestRequest(msgspec.Struct, tag="compare", array_like=True):
-    """Ask for a part of the digest tree over an owner's operations."""
+    """Query a part of the digest tree over an owner's operations."""
 
     request_id: int
     owner: str
-    compare_fences: bool  # of fences instead of operations
+    compare_fences: bool  # whether the tree over fences is queried instead
     level: int  # DIGEST_SUMS, DIGEST_ENTRIES or DIGEST_ITEMS
     depth: int
-    selectors: list[int]  # prefixes of keys, or keys for DIGEST_ITEMS
+    selectors: list[int]  # prefixes of keys; complete keys if level is DIGEST_ITEMS
     sender: str
     incarnation_token: str
     session: int  # all requests of a session are answered from one state of the receiver's log
@@ -104,21 +108,21 @@
     """Reply to DigestRequest."""
 
     request_id: int
-    authoritative: bool  # the record is complete, and holds the requester's present incarnation
+    authoritative: bool  # the log is complete and contains the requester's current incarnation
     incarnation_token: str
     data: bytes
     items: list[tuple[int, str, bytes | None, int]]  # state, operation, answer, age in seconds
 
 
 class ConsensusMessage(msgspec.Struct, tag="agree", array_like=True):
-    """A Raft message of the register; it has no reply."""
+    """A Raft message of the replicated register; it has no reply."""
 
     sender: str
     payload: bytes
 
 
 class EndpointListRequest(msgspec.Struct, tag="want", array_like=True):
-    """Ask for the receiver's endpoint list."""
+    """Request the receiver's endpoint list."""
 
     request_id: int
 
@@ -127,11 +131,11 @@
     """Reply to EndpointListRequest."""
 
     request_id: int
-    endpoint_list: Any  # in the form in which it is cached on disk; None where there is none
+    endpoint_list: Any  # in its format in the cache on disk; None if there is no list
 
 
 class OperatorCommand(msgspec.Struct, tag="order", array_like=True):
-    """A command of an operator, from the command line."""
+    """An operator's command, sent by the command line."""
 
     request_id: int
     command: str  # status, accept, hold, lift or put
--- a/frostfall/protocol/news.py
+++ b/frostfall/protocol/rollout_messages.py
@@ -1,4 +1,4 @@
-"""The rollout API's messages: the state of the newest build's rollout, and votes on it."""
+"""Messages of the rollout API: the state of the newest build's rollout, and votes on it."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from frostfall import interface as api
 
 # Methods of the rollout API.
-LISTEN = "listen"
+LISTEN = "listen"  # a call that subscribes to STATE_CHANGED
 VERDICT = "verdict"
-NEWS = "news"
+STATE_CHANGED = "news"
 PING = "ping"
 
 _PHASES = {
@@ -33,8 +33,8 @@
 }
 
 
-class State(msgspec.Struct):
-    """The state of a rollout, under the API's keys."""
+class StateMessage(msgspec.Struct):
+    """The state of a rollout, with the API's names as keys."""
 
     build: int = field(name="release")
     stage: int = field(name="tranche")
@@ -43,10 +43,10 @@
     age_ms: float = field(name="old_ms")
 
 
-def read(value: Any, reply: api.VoteReply) -> api.RolloutState | str:
-    """A state in the project's terms, or what is wrong with it; `value` is JSON of any type."""
+def parse_state(value: Any, reply: api.VoteReply) -> api.RolloutState | str:
+    """Translate a rollout state from decoded JSON of any type; returns an error text if it is invalid."""
     try:
-        state = msgspec.convert(value, State)
+        state = msgspec.convert(value, StateMessage)
     except msgspec.MsgspecError as error:
         return str(error)
     if state.phase not in _PHASES:
@@ -63,16 +63,16 @@
     )
 
 
-def vote(action: api.CastVote) -> dict[str, Any]:
-    """The parameters of a vote."""
+def vote_parameters(action: api.CastVote) -> dict[str, Any]:
+    """Return the parameters of a VERDICT call."""
     return {"release": action.build, "tranche": action.stage, "ruling": _RULINGS[action.verdict]}
 
 
 def reply_to_error(message: str) -> api.VoteReply:
-    """The reply to a vote that an error answered; whatever the error, the vote was not carried out."""
+    """Translate the error message that answered a vote; after any error, the vote was not carried out."""
     return _REPLIES.get(message, api.VoteReply.ERROR)
 
 
-def without_state(action: api.CastVote, reply: api.VoteReply) -> api.RolloutState:
-    """The reply to a vote that brought no state."""
+def reply_without_state(action: api.CastVote, reply: api.VoteReply) -> api.RolloutState:
+    """Return the reply to a vote for which the API returned no state."""
     return api.RolloutState(action.build, action.stage, api.RolloutPhase.TRIAL, 0.0, 0, reply)
--- a/frostfall/protocol/rpc.py
+++ b/frostfall/protocol/rpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 with one object a line: calls out, results and notifications in."""
+"""JSON-RPC 2.0 with one object per line: outgoing calls, incoming results, errors and notifications."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from frostfall.protocol.buffer import Buffer
+from frostfall.protocol.buffer import ReceiveBuffer
 
-LINE_MOST = 256 * 1024  # bytes: the platform cuts off a reader that falls further behind
+MAX_LINE_BYTES = 256 * 1024  # the rollout API disconnects a reader that falls further behind
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The answer to a call that was carried out."""
+    """The result of a call that succeeded."""
 
     id: int
     value: Any
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """The answer to a call that was not."""
+    """The error of a call that failed."""
 
     id: int
     message: str
@@ -30,63 +30,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Notification:
-    """Something told unasked."""
+    """A message that is not the response to a call."""
 
     method: str
     params: Any
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
-    """A line that is none of these; the connection is of no more use."""
+class MalformedLine:
+    """A line that is none of the other messages; the connection cannot be used any further."""
 
-    why: str
+    reason: str
 
 
-Incoming = Result | Failure | Notification | Unreadable
+Incoming = Result | Failure | Notification | MalformedLine
 
 
-def call(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
-    """The line of a call."""
+def encode_call(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
+    """Encode a call as one line."""
     message = {"jsonrpc": "2.0", "id": number, "method": method}
     return msgspec.json.encode(message | ({"params": params} if params is not None else {})) + b"\n"
 
 
-class Lines:
-    """Fed bytes; `next_message` gives each line's meaning."""
+class LineReader:
+    """Splits received bytes into lines and parses them."""
 
     def __init__(self) -> None:
-        """A connection on which nothing has come yet."""
-        self._buffer = Buffer(LINE_MOST)
-        self._searched = 0
+        """Begin with nothing received."""
+        self._buffer = ReceiveBuffer(MAX_LINE_BYTES)
+        self._search_start = 0  # the buffer has no newline before this offset
         self._overflow = False
 
     def feed(self, data: bytes) -> None:
-        """Take in what the other side sent."""
+        """Process received bytes."""
         self._overflow = self._overflow or not self._buffer.feed(data)
 
     def next_message(self) -> Incoming | None:
-        """The next line's meaning; None where more bytes are needed."""
-        while (end := self._buffer.find(b"\n", self._searched)) >= 0:
-            self._searched = 0
+        """Return the next message; None until more bytes have been received."""
+        while (end := self._buffer.find(b"\n", self._search_start)) >= 0:
+            self._search_start = 0
             if line := self._buffer.take(end + 1).strip():
-                return _meaning(line)
-        self._searched = len(self._buffer)
-        return Unreadable("a line over the size limit") if self._overflow else None
+                return _parse_line(line)
+        self._search_start = len(self._buffer)
+        return MalformedLine("a line over the size limit") if self._overflow else None
 
 
-def _meaning(line: bytes) -> Incoming:
+def _parse_line(line: bytes) -> Incoming:
     try:
         message = msgspec.json.decode(line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        return Unreadable(str(error))
+        return MalformedLine(str(error))
     if not isinstance(message, dict):
-        return Unreadable("a line that is no object")
-    number, method, fault = message.get("id"), message.get("method"), message.get("error")
+        return MalformedLine("a line that is no object")
+    number, method, error_object = message.get("id"), message.get("method"), message.get("error")
     if isinstance(method, str) and number is None:
         return Notification(method, message.get("params"))
-    if isinstance(number, int) and isinstance(fault, dict):
-        return Failure(number, str(fault.get("message", "")))
+    if isinstance(number, int) and isinstance(error_object, dict):
+        return Failure(number, str(error_object.get("message", "")))
     if isinstance(number, int) and "result" in message:
         return Result(number, message["result"])
-    return Unreadable("an object that is neither an answer nor a notification")
+    return MalformedLine("an object that is neither an answer nor a notification")
