--- a/frostfall/limits/buffer_budget.py
+++ b/frostfall/limits/buffer_budget.py
@@ -167,5 +167,5 @@
 
     @property
     def saturated(self) -> bool:
-        """Whether nothing more should be buffered: the total limit is exceeded by fast readers alone."""
+        """Return whether to buffer nothing more: fast readers alone exceed the total limit."""
         return self.buffered_bytes > self.limits.all_bytes and not len(self._candidates)
--- a/frostfall/limits/fair_scheduling.py
+++ b/frostfall/limits/fair_scheduling.py
@@ -47,5 +47,5 @@
 
     @property
     def may_continue(self) -> bool:
-        """Whether another message may be processed in this time slice."""
+        """Return whether another message may be processed in this time slice."""
         return self._credit_bytes > 0 and self._messages_left > 0
--- a/frostfall/limits/indexed_heap.py
+++ b/frostfall/limits/indexed_heap.py
@@ -32,7 +32,7 @@
         return len(self._heap)
 
     def __contains__(self, key: object) -> bool:
-        """Whether the key is in the heap."""
+        """Return whether the key is in the heap."""
         return key in self._positions
 
     def __iter__(self) -> Iterator[Key]:
--- a/frostfall/limits/options.py
+++ b/frostfall/limits/options.py
@@ -84,7 +84,7 @@
 
     @property
     def monitors_clients(self) -> bool:
-        """Whether clients' connections have to be monitored while answers are sent to them."""
+        """Return whether clients' connections have to be monitored while answers are sent to them."""
         return bool(
             self.waiting
             or self.clients.reading
@@ -93,6 +93,6 @@
 
     @property
     def monitors_servers(self) -> bool:
-        """Whether connections to servers have to be monitored during attempts."""
+        """Return whether connections to servers have to be monitored during attempts."""
         class_rates = (options.reading or options.sending for options in self.servers.classes.values())
         return bool(self.servers.reading or self.servers.sending or any(class_rates))
--- a/frostfall/limits/shed_counter.py
+++ b/frostfall/limits/shed_counter.py
@@ -9,7 +9,7 @@
 
 
 class ShedReason(Enum):
-    """Why a peer was shed; the value appears in logs and reports."""
+    """The reason why a peer was shed; the value appears in logs and reports."""
 
     CLIENT_READS_SLOWLY = "client reads below the least rate"
     CLIENT_SENDS_SLOWLY = "client sends below the least rate"
--- a/frostfall/limits/slow_peer_detector.py
+++ b/frostfall/limits/slow_peer_detector.py
@@ -101,7 +101,7 @@
         return ShedReason.CLIENT_READS_SLOWLY if too_slow else None
 
     def record_buffered(self, client: Client, source: str, buffered_bytes: int) -> None:
-        """Record the bytes buffered for a client, without those in the kernel and without a check."""
+        """Record the bytes buffered for a client, without the kernel's send buffer, and check nothing."""
         self.budget.update(client, source, buffered_bytes, None)
 
     def check_client_sending(self, progress: ConnectionProgress, now: float) -> ShedReason | None:
--- a/frostfall/limits/timer_wheel.py
+++ b/frostfall/limits/timer_wheel.py
@@ -31,7 +31,7 @@
 
     @property
     def armed(self) -> bool:
-        """Whether the timer is scheduled."""
+        """Return whether the timer is scheduled."""
         return self.due_tick >= 0
 
 
--- a/frostfall/net/requests.py
+++ b/frostfall/net/requests.py
@@ -142,7 +142,13 @@
             )
         self._post(
             api.RequestArrived(
-                parsed.request, parsed.class_name, deadline, parsed.key, parsed.hint, None, parsed.is_retry
+                parsed.request,
+                parsed.class_name,
+                deadline,
+                parsed.key,
+                parsed.service_time_hint,
+                None,
+                parsed.is_retry,
             )
         )
         return None
--- a/frostfall/protocol/authenticated_channel.py
+++ b/frostfall/protocol/authenticated_channel.py
@@ -68,7 +68,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the other side's nonce has been received, so that frames can be sent."""
+        """Return whether the other side's nonce has been received, so that frames can be sent."""
         return self._keys is not None
 
     def receive_data(self, data: bytes) -> list[MemberMessage]:
--- a/frostfall/protocol/buffer.py
+++ b/frostfall/protocol/buffer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-COMPACTION_THRESHOLD_BYTES = 4096  # consumed bytes at the front at which the rest is moved down in place
+COMPACTION_THRESHOLD_BYTES = 4096  # consumed bytes at the front that cause the rest to be moved down in place
 
 
 class ReceiveBuffer:
--- a/frostfall/protocol/discovery.py
+++ b/frostfall/protocol/discovery.py
@@ -100,7 +100,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the connection can carry another request."""
+        """Return whether the connection can carry another request."""
         return self._http.our_state is h11.IDLE
 
     def _finish_response(self) -> EndpointListUpdate | RequestFailed:
--- a/frostfall/protocol/member_messages.py
+++ b/frostfall/protocol/member_messages.py
@@ -26,16 +26,12 @@
     wall_time: float  # seconds of Unix time by the sender's clock
     readiness_stage: str  # the stage for which the sender waits; "" once it is ready
     incomplete_reason: str  # why the sender's log is incomplete; "" if it is complete
-    startup_incarnation: tuple[
-        int, int, str
-    ]  # number, batch and token at the end of the sender's log on startup
+    startup_incarnation: tuple[int, int, str]  # of the sender's log on startup: last number, batch and token
     recorded_incarnation: tuple[int, int, str]  # the same for the receiver, from the sender's disk
     recorded_is_alive: bool  # whether the sender receives heartbeats of that incarnation
     stale_reason: str  # why the sender considers the receiver's log stale; "" if it does not
     request_id: int = 0  # 0 in a reply
-    endpoint_list_generation: int = (
-        -1
-    )  # generation of the sender's newest list from discovery; -1 without one
+    endpoint_list_generation: int = -1  # of the sender's newest list from discovery; -1 without a list
     rolled_back_build: int = 0  # newest build that has been rolled back, as far as recorded by the sender
     operator_hold: tuple[int, str] = (0, "")  # serial number and operator of the sender's hold of votes
     recorded_operator_hold: tuple[int, str] = (0, "")  # the same for the receiver, from the sender's disk
@@ -74,7 +70,7 @@
     """Reply to ReplicateRequest, sent once the replica is durable."""
 
     request_id: int
-    rejected: bool  # a quorum has already settled the operation
+    rejected: bool  # whether a quorum has already settled the operation
     incarnation_token: str = ""  # of the replica holder; "" if its log is incomplete
     stored: bool = True  # whether the replica is on disk
 
@@ -108,7 +104,7 @@
     """Reply to DigestRequest."""
 
     request_id: int
-    authoritative: bool  # the log is complete and contains the requester's current incarnation
+    authoritative: bool  # whether the log is complete and contains the requester's current incarnation
     incarnation_token: str
     data: bytes
     items: list[tuple[int, str, bytes | None, int]]  # state, operation, answer, age in seconds
--- a/frostfall/protocol/pg.py
+++ b/frostfall/protocol/pg.py
@@ -26,7 +26,7 @@
 
 
 class MalformedReason(Enum):
-    """Why received bytes are not a valid message: returned as a value, not raised."""
+    """The reason why received bytes are not a valid message: returned as a value, not raised."""
 
     LENGTH = "a message with a bad length"
     OVERSIZE = "a message over the size limit"
--- a/frostfall/protocol/pg_client.py
+++ b/frostfall/protocol/pg_client.py
@@ -66,7 +66,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another query can be sent."""
+        """Return whether another query can be sent."""
         return self.state is ConnectionState.READY and not len(self._buffer)
 
     def encode_query(self, statement: bytes) -> bytes:
@@ -82,22 +82,22 @@
     def feed(self, data: bytes) -> None:
         """Process received bytes."""
         if not self._buffer.feed(data):
-            self._break(MalformedReason.OVERSIZE)
+            self._fail(MalformedReason.OVERSIZE)
         while self.state is not ConnectionState.BROKEN:
             if not len(self._buffer):
                 return None
             if self._buffer.peek_byte() not in _MESSAGE_TYPES:
-                return self._break(MalformedReason.TYPE)  # garbage could pass for the start of a long message
+                return self._fail(MalformedReason.TYPE)  # garbage could pass for the start of a long message
             message = pg.next_message(self._buffer, pg.MAX_ANSWER_BYTES)
             if message is None:
                 return None
             if isinstance(message, MalformedReason):
-                self._break(message)
+                self._fail(message)
             else:
                 self._handle_message(*message)
         return None
 
-    def _break(self, reason: MalformedReason) -> None:
+    def _fail(self, reason: MalformedReason) -> None:
         self.state = ConnectionState.BROKEN
         self.answer = self.answer or reason
 
@@ -123,23 +123,23 @@
         elif kind in (b"T", b"D", b"C") and self.state is ConnectionState.QUERY_SENT:
             self._handle_row_message(kind, payload)
         else:
-            self._break(MalformedReason.ORDER)
+            self._fail(MalformedReason.ORDER)
 
     def _handle_startup_message(self, kind: bytes, payload: bytes) -> None:
         if kind == b"Z":
             self.state = ConnectionState.READY
         elif kind == b"R" and payload != b"\0\0\0\0":
-            self._break(MalformedReason.TYPE)  # the server requests a password, and the agent has none
+            self._fail(MalformedReason.TYPE)  # the server requests a password, and the agent has none
         elif kind not in (b"R", b"K"):
-            self._break(MalformedReason.ORDER)
+            self._fail(MalformedReason.ORDER)
 
     def _handle_row_message(self, kind: bytes, payload: bytes) -> None:
         # A valid answer is one RowDescription, one DataRow and CommandComplete, in this order.
         position = len(self._messages)
         if kind != (b"T", b"D", b"C")[position]:
-            return self._break(MalformedReason.ORDER)
+            return self._fail(MalformedReason.ORDER)
         if not (_is_row_description, _is_data_row, _is_command_complete)[position](payload):
-            return self._break(MalformedReason.VALUE)
+            return self._fail(MalformedReason.VALUE)
         self._messages.append(pg.frame(kind, payload))
         if kind == b"C":
             self.answer, self.state = Row(b"".join(self._messages)), ConnectionState.ANSWER_RECEIVED
--- a/frostfall/protocol/pg_server.py
+++ b/frostfall/protocol/pg_server.py
@@ -60,12 +60,12 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the connection has ended, so that no event follows."""
+        """Return whether the connection has ended, so that no event follows."""
         return self._closed
 
     @property
     def busy(self) -> bool:
-        """Whether a query awaits its answer."""
+        """Return whether a query awaits its answer."""
         return self._busy
 
     def feed(self, data: bytes) -> None:
--- a/frostfall/protocol/statement.py
+++ b/frostfall/protocol/statement.py
@@ -36,7 +36,7 @@
     key: str
     wait_ms: int
     is_retry: bool
-    hint: int | None
+    service_time_hint: int | None  # microseconds
     _before: bytes  # text up to the value of field `d`
     _after: bytes  # text after the value of field `d`
     _comment: bytes
@@ -82,7 +82,7 @@
         key=key.decode("latin-1"),
         wait_ms=int(wait),
         is_retry=fields.get(b"r", (b"", 0))[0] == b"1",
-        hint=int(hint) if _NUMBER.match(hint) else None,
+        service_time_hint=int(hint) if _NUMBER.match(hint) else None,
         _before=text[:wait_offset],
         _after=text[wait_offset + len(wait) :],
         _comment=match[4],
