--- a/frostfall/limits/slow_peer_detector.py
+++ b/frostfall/limits/slow_peer_detector.py
@@ -1,6 +1,6 @@
-"""Detection of slow clients and servers.
+"""Detection of slow clients and servers: decides for all network drivers which peers are too slow.
 
-Network drivers report the progress of a connection, in bytes and stall-adjusted seconds
+Drivers report the progress of a connection, in bytes and stall-adjusted seconds
 (`limits.stall_adjusted_clock`), and carry out the verdict. Each connection has a `ConnectionProgress`.
 Clients are identified by objects of the driver.
 """
