--- a/frostfall/protocol/attempt_result.py
+++ b/frostfall/protocol/attempt_result.py
@@ -22,7 +22,7 @@
 
 
 class AttemptProgress(IntEnum):
-    """How far an attempt had progressed."""
+    """The progress of an attempt."""
 
     NO_CONNECTION = 0
     NOT_WRITTEN = 1  # the last byte of the query had not been handed to the kernel
@@ -39,13 +39,13 @@
     timed_out: bool = False
     cancelled: bool = False
     stalled: bool = False  # abandoned because the server read or sent bytes too slowly
-    withheld: bool = False  # the agent itself decided not to write it
+    withheld: bool = False  # the agent itself decided not to write the query
     load_report: str | None = None  # the load report sent with the answer
     reason: str = ""
 
     @property
     def outcome(self) -> Outcome:
-        """The result as an interface type; in doubt, the outcome is one that allows that the attempt ran."""
+        """The outcome for the policy engine; in doubt, one that allows for the attempt to have run."""
         answer, started = self.answer, self.progress >= AttemptProgress.WRITTEN
         if isinstance(answer, Row):
             return Outcome.SUCCESS
--- a/frostfall/protocol/discovery.py
+++ b/frostfall/protocol/discovery.py
@@ -64,7 +64,7 @@
         self._http = h11.Connection(h11.CLIENT)
         self._body = ReceiveBuffer(MAX_BODY_BYTES)
         self._status = 0
-        # Date header of the last response, in microseconds of Unix time; None if missing or malformed.
+        # Date header of the last response (discovery's clock), in microseconds of Unix time; None if invalid.
         self.answered_at: int | None = None
 
     def encode_request(self, since: int | None, wait_ms: int) -> bytes:
