--- a/frostfall/net/recovery/__init__.py
+++ b/frostfall/net/recovery/__init__.py
@@ -1,6 +1,6 @@
-"""A group member in a running agent: its log, its membership and its readiness, one concern a module.
+"""A group member in a running agent: its log, its membership and its readiness.
 
-Only an agent with a group imports this package.
+Each module covers one concern. Only agents in a group import this package.
 """
 
 from frostfall.net.recovery.core import Dependencies
--- a/frostfall/net/recovery/core.py
+++ b/frostfall/net/recovery/core.py
@@ -1,4 +1,4 @@
-"""What the parts of a group member share: dependencies, state machines, and the signal of a change."""
+"""State that the components of a group member share: dependencies, state machines and a change signal."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 
 def _open_folder(path: Path) -> log_writer.SegmentDirectory:
-    return log_writer.segment_directory(path)  # looked up at each call: tests replace it
+    return log_writer.segment_directory(path)  # looked up at each call, because tests replace it
 
 
 def _wall_clock() -> float:
-    return time.time()  # looked up at each call: tests replace it
+    return time.time()  # looked up at each call, because tests replace it
 
 
 @dataclass(frozen=True, slots=True)
 class Dependencies:
-    """Disk, network and clocks of a group member; models put others in their place."""
+    """Disk, network and clocks of a group member; the simulator replaces them by models."""
 
     open_folder: Callable[[Path], log_writer.SegmentDirectory] = _open_folder
     connect: Callable[..., MemberConnection] = MemberConnection
@@ -46,19 +46,19 @@
 
 
 class ChangeSignal:
-    """Wakes the tasks that wait for a change of what readiness is evaluated from."""
+    """Wakes the tasks that wait for a change of the inputs of readiness."""
 
     def __init__(self) -> None:
-        """No change is pending."""
+        """Create a signal without a pending change."""
         self._event = anyio.Event()
 
     def notify(self) -> None:
-        """Something has changed."""
+        """Signal a change to all waiting tasks."""
         self._event.set()
 
     def rearm(self) -> None:
-        """Wait for the next change from now on, once the last one has been signalled."""
-        # An event replaced before it is set would leave the tasks that wait for it waiting for good.
+        """Clear a signalled change, so that `wait` waits for the next change."""
+        # If an event were replaced before it is set, the tasks that wait for it would never wake.
         if self._event.is_set():
             self._event = anyio.Event()
 
@@ -71,12 +71,12 @@
     """Appends metadata records to the log."""
 
     def __init__(self, wal: WriteAheadLog, disk: LogWriter) -> None:
-        """Records are appended to `wal`, which `disk` writes out."""
+        """Append records to `wal`, which `disk` writes to the disk."""
         self._wal = wal
         self._disk = disk
 
     def append(self, record: MetadataRecord) -> int:
-        """Append a record; return the log ticket of its durability."""
+        """Append a record; return the log ticket, by which its durability can be awaited."""
         ticket = self._wal.append(Record(RecordState.METADATA, 0, metadata.encode(record)))
         self._disk.wake()
         return ticket
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberCore:
-    """The state machines and drivers that the parts of one group member share."""
+    """The state machines and drivers that the components of one group member share."""
 
     name: str
     options: GroupOptions
@@ -96,12 +96,12 @@
     membership: MemberList
     readiness: Readiness
     inputs: ReadinessInputs
-    connections: dict[str, MemberConnection]  # by member; filled once the log is open
+    connections: dict[str, MemberConnection]  # by member; empty until the log is open
     changed: ChangeSignal
     wall_clock: Callable[[], float]  # seconds
     monotonic_clock: Callable[[], float]  # seconds
 
     def send_heartbeats_now(self) -> None:
-        """Send a heartbeat to every member without waiting for its time."""
+        """Send a heartbeat to every connected member at once, ahead of the schedule."""
         for connection in self.connections.values():
             connection.send_heartbeat_now()
--- a/frostfall/net/recovery/heartbeats.py
+++ b/frostfall/net/recovery/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between members: what this member says of itself, and what follows from the others'."""
+"""Heartbeats between members: creation of this member's, and processing of the received ones."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from frostfall.net.recovery.vote_holds import VoteHoldDriver
 from frostfall.protocol.member_messages import Heartbeat
 
-CLOCK_SKEW_WARNING = 5.0  # seconds between two clocks from which a warning is logged
+CLOCK_SKEW_WARNING = 5.0  # seconds; a greater difference between two members' clocks is logged
 
 _log = log.get_logger("recovery")
 
 
 class HeartbeatExchange:
-    """Makes this member's heartbeats and takes in the others'."""
+    """Creates this member's heartbeats and processes those of other members."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         rollout: RolloutRelay,
         vote_holds: VoteHoldDriver,
     ) -> None:
-        """A heartbeat carries something for each of these parts."""
+        """Each of these components contributes fields to a heartbeat or processes received ones."""
         self._core = core
         self._incarnation = incarnation
         self._completeness = completeness
@@ -42,11 +42,11 @@
         self._clock_skew_reported: set[str] = set()  # members
 
     def identity(self) -> tuple[str, str]:
-        """Name of this member and token of its incarnation."""
+        """Return the name of this member and the token of its incarnation."""
         return self._core.name, self._core.membership.incarnation_token
 
     def make(self, member: str) -> Heartbeat | None:
-        """The heartbeat for a member; None for a stranger, or before an incarnation is durable."""
+        """Return the heartbeat for a member; None if it is unknown, or before an incarnation is durable."""
         core, membership = self._core, self._core.membership
         peer = membership.peers.get(member)
         if not membership.incarnation or not core.inputs.incarnation_durable or peer is None:
@@ -72,9 +72,10 @@
         )
 
     def receive(self, heartbeat: Heartbeat) -> None:
-        """Take in a member's heartbeat."""
+        """Process a member's heartbeat."""
         membership = self._core.membership
-        # Before the log is replayed, what other members know of this one would look like more than it has.
+        # Before the log is replayed, this log would appear outdated compared with what other members have
+        # recorded of this member.
         if heartbeat.sender not in membership.peers or not self._core.inputs.log_replayed:
             return
         floor_before = membership.incarnation_floor
@@ -107,7 +108,8 @@
             heartbeat.recorded_is_alive,
             heartbeat.stale_reason,
         )
-        # The own incompleteness goes to the log before the incarnation that makes others forget it.
+        # The reason has to be in the log before the next incarnation: once other members record that
+        # incarnation, their evidence that this log is stale is overwritten.
         self._completeness.check_staleness()
         if verdict is HeartbeatVerdict.NEW_INCARNATION and self._core.disk.is_open:
             self._peer_recorder.save_new(heartbeat.sender, incarnation, peer.latest_stale_reason)
@@ -115,10 +117,10 @@
             self._receive_progress(heartbeat, peer, incarnation)
 
     def _receive_progress(self, heartbeat: Heartbeat, peer: Peer, incarnation: Incarnation) -> None:
-        # The batches of an incarnation that is recorded go to the log from time to time only.
+        # The progress of a recorded incarnation is updated in memory here, and saved to the log periodically.
         self._core.membership.mark_recorded(heartbeat.sender, incarnation)
         startup_token = heartbeat.startup_incarnation[2]
-        # It has recorded its staleness itself by now, or other members have restored its record meanwhile.
+        # The peer itself has recorded that its log is incomplete, or its record has been restored.
         is_settled = heartbeat.incomplete_reason or startup_token == heartbeat.incarnation_token
         if peer.stale_reason and is_settled:
             peer.stale_reason = ""
--- a/frostfall/net/recovery/incarnation.py
+++ b/frostfall/net/recovery/incarnation.py
@@ -1,4 +1,4 @@
-"""The incarnation of this member: the one that its log ended with, and the one it begins."""
+"""Incarnations of this member: the previous one, with which its log ended, and the present one."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class IncarnationDriver:
-    """Owns the incarnation that the log ended with, and begins the present one."""
+    """Owns the previous incarnation, with which the log ended, and starts the present one."""
 
     def __init__(self, core: MemberCore) -> None:
-        """Nothing has been replayed yet."""
+        """Create a driver without a previous incarnation; log replay restores it."""
         self._core = core
-        self.previous = Incarnation()  # what other members compare with what they have recorded
+        self.previous = Incarnation()  # compared by other members with their records of this member
 
     def restore(self, record: IncarnationStarted) -> None:
-        """Take over a record of the log."""
+        """Restore the previous incarnation from a record of the log."""
         self.previous.number = record.incarnation
         self.previous.token = record.token
 
     def accept_present(self) -> None:
-        """From now on, the present incarnation is the one that other members compare with theirs."""
+        """Make other members compare the present incarnation, not the previous one, with their records."""
         membership = self._core.membership
         self.previous = Incarnation(
             membership.incarnation, self._core.wal.last_durable_batch, membership.incarnation_token
         )
 
     def records(self) -> Iterable[MetadataRecord]:
-        """The metadata record that a new segment begins with."""
+        """Yield the metadata record that a new segment begins with, if any."""
         membership = self._core.membership
         if membership.incarnation:
             yield IncarnationStarted(membership.incarnation, membership.incarnation_token)
@@ -41,7 +41,7 @@
             yield IncarnationStarted(self.previous.number, self.previous.token)
 
     async def run(self) -> None:
-        """Begin an incarnation, and a higher one whenever other members have seen its number before."""
+        """Start an incarnation, and a higher one whenever another member has already recorded its number."""
         membership, inputs = self._core.membership, self._core.inputs
         number = self.previous.number
         while True:
--- a/frostfall/net/recovery/log_replay.py
+++ b/frostfall/net/recovery/log_replay.py
@@ -1,4 +1,4 @@
-"""Startup: replays the log, and settles what the last incarnation left open."""
+"""Log replay at startup, and settlement of the operations that the previous incarnation left open."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from frostfall.storage.log_recovery import LogCondition
 from frostfall.storage.segment_codec import Record, RecordState
 
-OPEN_RECORD_BYTES = 1024  # bytes read of a record: an open operation has no answer, and a short name
+OPEN_RECORD_BYTES = 1024  # read per record; enough, as an open operation has a short name and no answer
 
 _log = log.get_logger("recovery")
 
 
 class LogReplay:
-    """Hands each record of the log to its owner at a start, and collects them again for a new segment."""
+    """Passes the log's records to their owners at startup, and collects them again for a new segment."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         vote_holds: VoteHoldDriver,
         consensus: ConsensusDriver | None,
     ) -> None:
-        """Each part owns some of the log's metadata records; `consensus` is None where it is off."""
+        """Each component owns some of the log's metadata records; `consensus` is None if it is disabled."""
         self._core = core
         self._incarnation = incarnation
         self._completeness = completeness
@@ -51,10 +51,8 @@
         self._consensus = consensus
         self._stored_assignment = ReplicaAssignment([], [])
 
-    # ---- a new segment -----------------------------------------------------------------------------
-
     def checkpoint_records(self) -> Iterable[Record]:
-        """All records that a new segment begins with."""
+        """Return all records that a new segment begins with."""
         encoded = [
             Record(RecordState.METADATA, 0, metadata.encode(record)) for record in self._metadata_records()
         ]
@@ -75,14 +73,12 @@
         if self._consensus:
             yield from self._consensus.stored_state()
 
-    # ---- startup -----------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Open and replay the log; a log that cannot be used leaves the member without one."""
+        """Open and replay the log; if the log is unusable, the member runs without one."""
         core, wal = self._core, self._core.wal
         await self._open()
         if core.inputs.unusable_reason:
-            self._refuse(core.inputs.unusable_reason)
+            self._mark_unusable(core.inputs.unusable_reason)
         else:
             self._settle_open_operations()
         self._incarnation.previous.durable_batch = wal.last_durable_batch
@@ -112,7 +108,7 @@
         if not wal.condition.is_usable:
             core.inputs.unusable_reason = f"{wal.condition.value}: {wal.condition_reason}"
 
-    def _refuse(self, reason: str) -> None:
+    def _mark_unusable(self, reason: str) -> None:
         self._core.inputs.unusable_reason = reason
         self._core.operation_log.incomplete_reason = IncompleteReason(reason)
         _log.error("record unusable", reason=reason)
@@ -125,10 +121,10 @@
             )
         except (OSError, ValueError) as error:
             core.disk.is_open = False
-            self._refuse(f"an open operation cannot be read: {error}")
+            self._mark_unusable(f"an open operation cannot be read: {error}")
 
     def _claim_replica(self, name: str) -> bool:
-        """Whether this open operation is another member's; it stays open until its owner ends it."""
+        """Return whether an open record is a replica, which stays open until its owner ends the operation."""
         if not is_replica_name(name):
             return False
         self._core.replica_store.open_tickets[name] = 0
@@ -142,7 +138,7 @@
         return record[2]
 
     def _restore(self, data: bytes) -> None:
-        """Hand a metadata record to its owner; one of an unknown kind is skipped."""
+        """Pass a metadata record to its owner; records of unknown kinds are skipped."""
         match metadata.decode(data):
             case metadata.IncarnationStarted() as record:
                 self._incarnation.restore(record)
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -1,4 +1,4 @@
-"""A group member in a running agent: composes its parts, and runs them in the order of a start."""
+"""A group member in a running agent: creates its components and starts them in order."""
 
 from __future__ import annotations
 
@@ -42,19 +42,19 @@
 from frostfall.storage.segment_codec import Record
 from frostfall.storage.write_ahead_log import WriteAheadLog
 
-UNCROWDED_REJECTION_RATE = 100.0  # rejections per second up to which the shortest retry delay suffices
+MAX_RATE_WITH_MIN_DELAY = 100.0  # rejections per second up to which the minimum retry delay is used
 RETRY_JITTER_SEED = 0x5EED  # combined with the agent's seed
-PEER_SAVE_PERIODS = 25  # heartbeat periods after which the progress of the other members is saved
-MAX_PAUSE_PERIODS = 3  # heartbeat periods: in a longer gap this process was suspended
-OPERATOR_CONNECTIONS = 4  # connections accepted beyond those of the members
-LISTEN_RETRY_DELAY = 1.0  # seconds after a listener failed
-MICROSECONDS = 1e6  # in a second
+PEER_SAVE_PERIODS = 25  # heartbeat periods between two saves of the other members' progress
+MAX_PAUSE_PERIODS = 3  # heartbeat periods; a longer gap means that this process was paused
+OPERATOR_CONNECTIONS = 4  # connections accepted in addition to those of the members
+LISTEN_RETRY_DELAY = 1.0  # seconds after a failure of the listener
+MICROSECONDS_PER_SECOND = 1e6
 
 _log = log.get_logger("recovery")
 
 
 class GroupMember:
-    """One agent as a member of its group."""
+    """An agent's membership in its group."""
 
     def __init__(
         self,
@@ -63,7 +63,11 @@
         clock: Callable[[], int],
         dependencies: Dependencies | None = None,
     ) -> None:
-        """Prepare; nothing is read before `run`. `clock` gives microseconds, as deadlines count them."""
+        """Create all components; nothing is read from disk before `run`.
+
+        `clock` returns microseconds on the time base of request deadlines. Raises TypeError if the operator
+        file has no section `group`.
+        """
         if not isinstance(config.options.group, GroupOptions):
             raise TypeError("the operator file has no section `group`")
         self.options = config.options.group
@@ -74,7 +78,7 @@
         self.operation_log = core.operation_log
         self.wal = core.wal
         self._make_drivers(config)
-        self._make_state_owners(config, handler)
+        self._make_record_owners(config, handler)
         self._make_request_handler(clock)
         self._make_operations(config, handler, clock)
 
@@ -109,7 +113,7 @@
         )
 
     def _make_drivers(self, config: Config) -> None:
-        """The drivers that the options switch on, and what they report to."""
+        """Create the drivers that the options enable, and the components to which they report."""
         core, options = self._core, self.options
         scheduler = self._make_scheduler()
         self._incarnation = IncarnationDriver(core)
@@ -143,13 +147,15 @@
         if self.options.copies is None:
             return None
         zones = {member.name: member.zone for member in self.options.members}
-        gone = frozenset(member.name for member in self.options.members if member.gone)
-        return AntiEntropyScheduler(self._core.name, zones, self.options.copies, gone)
+        removed = frozenset(member.name for member in self.options.members if member.gone)
+        return AntiEntropyScheduler(self._core.name, zones, self.options.copies, removed)
 
-    def _make_state_owners(self, config: Config, handler: RequestHandler) -> None:
-        """The owners of what is recorded in the log, and those that bring it together."""
+    def _make_record_owners(self, config: Config, handler: RequestHandler) -> None:
+        """Create the owners of the log's metadata records, and the components that combine them."""
         core, rollout_settings = self._core, config.settings.rollout
-        exposure_window = rollout_settings.exposure_window / MICROSECONDS if rollout_settings else 0.0
+        exposure_window = (
+            rollout_settings.exposure_window / MICROSECONDS_PER_SECOND if rollout_settings else 0.0
+        )
         self._endpoints = EndpointCache(core, config.initial_endpoint_list, config.settings.zone)
         self._rollout = RolloutRelay(core, handler)
         self._vote_holds = VoteHoldDriver(core)
@@ -175,7 +181,7 @@
         )
 
     def _make_request_handler(self, clock: Callable[[], int]) -> None:
-        """What answers members and operators."""
+        """Create the components that answer other members and operators."""
         core = self._core
         self._heartbeats = HeartbeatExchange(
             core,
@@ -192,7 +198,7 @@
         commands = OperatorCommands(
             core, self._completeness, self._vote_holds, self._status, self._replication, clock
         )
-        self._requests = MemberRequestHandler(
+        self._request_handler = MemberRequestHandler(
             core,
             self._completeness,
             self._heartbeats,
@@ -204,7 +210,7 @@
         )
 
     def _make_operations(self, config: Config, handler: RequestHandler, clock: Callable[[], int]) -> None:
-        """What answers clients."""
+        """Create the coordinator of clients' operations."""
         core = self._core
         self._operation_context = OperationContext(
             name=core.name,
@@ -213,7 +219,7 @@
             handler=handler,
             clock=clock,
             monotonic_clock=core.monotonic_clock,
-            retry_after=RetryAfterJitter(UNCROWDED_REJECTION_RATE, config.seed ^ RETRY_JITTER_SEED),
+            retry_after=RetryAfterJitter(MAX_RATE_WITH_MIN_DELAY, config.seed ^ RETRY_JITTER_SEED),
             operation_log=core.operation_log,
             replica_store=core.replica_store,
             disk=core.disk,
@@ -230,10 +236,11 @@
     def _checkpoint_records(self) -> Iterable[Record]:
         return self._log_replay.checkpoint_records()
 
-    # ---- running -----------------------------------------------------------------------------------
-
     async def run(self, on_endpoint_list: Callable[[EndpointListUpdate], None]) -> None:
-        """Replay the log, then run the member, for good; `on_endpoint_list` takes unconfirmed lists."""
+        """Replay the log, then run the member until it is cancelled.
+
+        `on_endpoint_list` is called with endpoint lists that discovery has not confirmed.
+        """
         self._endpoints.publish_to(on_endpoint_list)
         self._readiness_driver.restart_clock()
         async with anyio.create_task_group() as group:
@@ -248,7 +255,7 @@
                 self._start_drivers(group)
 
     def _start_drivers(self, group: TaskGroup) -> None:
-        """Start what needs a usable log."""
+        """Start the components that need a usable log."""
         group.start_soon(self._core.disk.run)
         group.start_soon(self._incarnation.run)
         for member in self.options.active_members:
@@ -279,7 +286,7 @@
         own = next(member for member in self.options.members if member.name == self._core.name)
         address = _parse_address(self.options.listen or own.address)
         max_connections = CONNECTIONS_PER_MEMBER * len(self.options.active_members) + OPERATOR_CONNECTIONS
-        listener = self._dependencies.listen(self.options.key, max_connections, self._requests.answer)
+        listener = self._dependencies.listen(self.options.key, max_connections, self._request_handler.answer)
         while True:
             try:
                 await listener.run(address)
@@ -288,7 +295,7 @@
             await anyio.sleep(LISTEN_RETRY_DELAY)
 
     async def _run_periods(self) -> None:
-        """Once a heartbeat period: suspect silent members, and save what has changed."""
+        """In each heartbeat period, update the states of silent members and save changed state to the log."""
         period = self.options.turns.every
         clock = StallAdjustedClock(period, period * MAX_PAUSE_PERIODS)
         elapsed_periods = 0
@@ -305,29 +312,27 @@
             await anyio.sleep(period)
 
     def close(self) -> None:
-        """Release the log's directory."""
+        """Close the log's directory."""
         self._core.disk.directory.close()
 
-    # ---- for the agent -----------------------------------------------------------------------------
-
     def status(self) -> StatusFields:
-        """What operators are shown."""
+        """Return the status that is reported to operators."""
         return self._status.report()
 
-    def endpoints_changed(self, listing: EndpointListUpdate, cached: bool = False) -> None:
-        """The agent has taken over an endpoint list or changes of it; `cached`: not from discovery."""
-        self._endpoints.update(listing, cached=cached)
+    def endpoints_changed(self, endpoint_list: EndpointListUpdate, cached: bool = False) -> None:
+        """Process an update of the agent's endpoint list; `cached` is False if discovery has sent it."""
+        self._endpoints.update(endpoint_list, cached=cached)
 
-    def usable_endpoints(self, listing: EndpointListUpdate) -> EndpointListUpdate:
-        """What may be used of a list that discovery has not confirmed."""
-        return self._endpoints.usable(listing)
+    def usable_endpoints(self, endpoint_list: EndpointListUpdate) -> EndpointListUpdate:
+        """Return the endpoints that may be used of a list that discovery has not confirmed."""
+        return self._endpoints.usable(endpoint_list)
 
     def rollout_changed(self, state: api.RolloutState) -> None:
-        """A state of the rollout API, for the decision module once votes may be cast."""
+        """Process a state of the rollout API; the decision module receives it once votes may be cast."""
         self._rollout.update(state)
 
     def set_initial_rollout(self, state: api.RolloutState) -> None:
-        """The configuration's rollout state, which may be older than what is in the log."""
+        """Set the rollout state of the configuration, which may be older than the state in the log."""
         self._rollout.set_initial(state)
 
 
--- a/frostfall/net/recovery/member_requests.py
+++ b/frostfall/net/recovery/member_requests.py
@@ -1,4 +1,4 @@
-"""Answers what other members and operators send."""
+"""Answers messages from other members and operators."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class MemberRequestHandler:
-    """Dispatches each message to the part that answers it."""
+    """Dispatches each message to the component that answers it."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         replica_repair: AntiEntropyDriver | None,
         consensus: ConsensusDriver | None,
     ) -> None:
-        """Drivers are None where the options switch them off; messages for them are not answered."""
+        """Drivers that the options disable are None; messages for them are not answered."""
         self._core = core
         self._completeness = completeness
         self._heartbeats = heartbeats
@@ -54,7 +54,7 @@
         self._consensus = consensus
 
     def answer(self, message: MemberMessage) -> Response:
-        """The answer to a message, or an awaitable of it; None where there is none."""
+        """Return the answer to a message, or an awaitable of it; None if there is no answer."""
         match message:
             case Heartbeat():
                 self._heartbeats.receive(message)
--- a/frostfall/net/recovery/operator_commands.py
+++ b/frostfall/net/recovery/operator_commands.py
@@ -13,7 +13,8 @@
 from frostfall.net.replication import ReplicationDriver
 from frostfall.protocol.member_messages import OperatorReport
 
-ACCEPT_LOSS = "accept"  # names of commands, as they are sent
+# Names of the commands on the wire.
+ACCEPT_LOSS = "accept"
 HOLD_VOTES = "hold"
 RELEASE_VOTES = "lift"
 SET_KEY = "put"
@@ -22,7 +23,7 @@
 
 
 class OperatorCommands:
-    """Carries operators' commands out and reports the status after each; any other word asks for that."""
+    """Executes operators' commands; every command, also an unknown one, is answered with the status."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         replication: ReplicationDriver | None,
         clock: Callable[[], int],
     ) -> None:
-        """`clock` gives microseconds, as deadlines count them."""
+        """`clock` returns microseconds on the time base of request deadlines."""
         self._core = core
         self._completeness = completeness
         self._vote_holds = vote_holds
@@ -42,7 +43,7 @@
         self._clock = clock
 
     async def run(self, request_id: int, command: str, operator: str) -> OperatorReport:
-        """Carry out a command; the report is given once it is durable, and so outlives a power loss."""
+        """Execute a command; report the status once the effect is durable, and so survives power loss."""
         ticket = 0
         if command == ACCEPT_LOSS and self._has_loss() and self._core.disk.is_open:
             _log.warning("record loss accepted", operator=operator, reason=self._completeness.detail)
@@ -51,11 +52,11 @@
             ticket = self._vote_holds.issue(operator, active=command == HOLD_VOTES)
             _log.warning("votes", order=command, who=operator)
         self._core.changed.notify()
-        kept = not ticket or (self._core.disk.is_open and await self._core.disk.wait_durable(ticket))
+        durable = not ticket or (self._core.disk.is_open and await self._core.disk.wait_durable(ticket))
         if command in (HOLD_VOTES, RELEASE_VOTES) and self._replication:
             await self._vote_holds.wait_replicated()
-        copied = self._vote_holds.is_replicated or not self._replication
-        return OperatorReport(request_id, {**self._status.report(), "kept": kept, "copied": copied})
+        replicated = self._vote_holds.is_replicated or not self._replication
+        return OperatorReport(request_id, {**self._status.report(), "kept": durable, "copied": replicated})
 
     def _has_loss(self) -> bool:
         completeness = self._completeness
@@ -64,7 +65,7 @@
     async def set_key(
         self, consensus: ConsensusDriver, request_id: int, operator: str, key: str, value: str
     ) -> OperatorReport:
-        """Set a key of the register, from the version that it has here."""
+        """Set a key of the register if it still has the version that this member has."""
         _log.warning("register write requested", key=key, value=value, operator=operator)
         version = consensus.register.get(key).version
         succeeded = await consensus.compare_and_set(key, value, version, self._clock())
--- a/frostfall/net/recovery/readiness_driver.py
+++ b/frostfall/net/recovery/readiness_driver.py
@@ -1,4 +1,4 @@
-"""Evaluates readiness whenever something has changed, and acts on what has become ready."""
+"""Evaluates readiness after each change of its inputs, and acts on stages that become ready."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from frostfall.net.replication import ReplicationDriver
 from frostfall.recovery.readiness import ReadinessStage
 
-MAX_EVALUATION_INTERVAL = 0.1  # seconds between two evaluations while nothing changes
+MAX_EVALUATION_INTERVAL = 0.1  # seconds between two evaluations without a change
 
 _log = log.get_logger("recovery")
 
 
 class ReadinessDriver:
-    """Feeds the readiness of one member, and owns the time of its start."""
+    """Updates the readiness inputs of one member, and owns the start time from which timeouts count."""
 
     def __init__(
         self,
@@ -31,7 +31,11 @@
         replication: ReplicationDriver | None,
         exposure_window: float,
     ) -> None:
-        """`exposure_window`: seconds in which attempts sent to a canary before the start still count."""
+        """Start the clock of the startup timeouts.
+
+        `exposure_window` is the time in seconds for which attempts sent to a canary before the start still
+        count as exposure.
+        """
         self._core = core
         self._handler = handler
         self._completeness = completeness
@@ -43,11 +47,11 @@
         self._started_at = core.monotonic_clock()
 
     def restart_clock(self) -> None:
-        """Count the time of the start from now on."""
+        """Restart the clock from which startup timeouts count."""
         self._started_at = self._core.monotonic_clock()
 
     async def run(self) -> None:
-        """Evaluate on every change, for good."""
+        """Evaluate readiness on every change until cancelled."""
         while True:
             self._core.changed.rearm()
             self._evaluate()
--- a/frostfall/net/recovery/record_completeness.py
+++ b/frostfall/net/recovery/record_completeness.py
@@ -1,4 +1,4 @@
-"""Whether this member's record is complete, and what follows once it is not."""
+"""Completeness of this member's record, and the consequences of an incomplete one."""
 
 from __future__ import annotations
 
@@ -20,64 +20,60 @@
     def __init__(
         self, core: MemberCore, incarnation: IncarnationDriver, scheduler: AntiEntropyScheduler | None
     ) -> None:
-        """`scheduler`: restores the record from replicas; None where there are none."""
+        """`scheduler` schedules the restoration from replicas; it is None if replication is disabled."""
         self._core = core
         self._incarnation = incarnation
         self._scheduler = scheduler
         self._majority_loss_reported = False
-        self.consensus_excluded = False  # the votes cast may be lost; only operators can accept that
-        self.is_durable = False  # whether the present reason, or its absence, is in the log
+        self.consensus_excluded = False  # True if Raft votes may be lost; only operators can accept that loss
+        self.is_durable = False  # True once the present reason, or its absence, is in the log
 
     @property
     def reason(self) -> IncompleteReason | None:
-        """Why the record is incomplete; None where it is complete."""
+        """Return the reason why the record is incomplete; None if it is complete."""
         return self._core.inputs.incomplete_reason
 
     @property
     def detail(self) -> str:
-        """The reason as text; empty where the record is complete."""
+        """Return the reason as text; empty if the record is complete."""
         return incomplete_detail(self.reason)
 
     @property
     def incomplete_owners(self) -> set[str]:
-        """The owners whose records are incomplete here."""
+        """Return the owners whose records are incomplete on this member."""
         return self._scheduler.incomplete_owners if self._scheduler else set()
 
-    # ---- startup -----------------------------------------------------------------------------------
-
     def restore(self, record: RecordIncomplete) -> None:
-        """Take over a record of the log."""
+        """Restore the state from a record of the log."""
         self._set_reason(IncompleteReason(record.reason) if record.reason else None)
         self.is_durable = True
         self.consensus_excluded = record.consensus_excluded
 
     def records(self) -> Iterable[MetadataRecord]:
-        """The metadata record that a new segment begins with."""
+        """Yield the metadata record that a new segment begins with, if any."""
         if self.reason or self.consensus_excluded:
             yield RecordIncomplete(self.detail, self.consensus_excluded)
 
     def assignment_records(self) -> Iterable[MetadataRecord]:
-        """The replicas held in full, for the log."""
+        """Yield the metadata record of the replicas that are complete here, if replication is enabled."""
         if self._scheduler:
             yield ReplicaAssignment(self._scheduler.complete_owners, sorted(self._scheduler.zones))
 
     def apply_assignment(self, assignment: ReplicaAssignment, *, is_first_start: bool) -> None:
-        """Compare the replicas that the log held in full with those assigned by the options."""
+        """Mark the replicas that the options assign but the log did not hold in full as incomplete."""
         if self._scheduler:
             owners = self._scheduler.owners if is_first_start else assignment.owners
             self._scheduler.apply_assignment(owners, assignment.members)
 
-    # ---- losing records ----------------------------------------------------------------------------
-
     def mark_missing(self) -> None:
-        """There was no log: a first start, or a lost directory."""
-        # With all directories lost at once, no member is left that could tell that from a first start.
+        """Mark the record as incomplete because there was no log (a first start, or a lost directory)."""
+        # If all directories are lost at once, no member can distinguish that from a first start.
         self._set_reason(IncompleteReason("there was no record: a first start, or a lost folder"))
         self.save()
         _log.warning("record missing", reason=self.detail)
 
     def check_staleness(self) -> None:
-        """Record that the directory is older than what other members have seen of it, once one says so."""
+        """Mark the record as incomplete once a member reports that this directory is an outdated copy."""
         membership = self._core.membership
         if not membership.stale_reason or self.reason or not self._core.disk.is_open:
             return
@@ -86,21 +82,21 @@
         self.save()
 
     def mark_unreadable(self, error: Exception) -> None:
-        """A record of the log cannot be read any more."""
+        """Mark the record as incomplete because a record of the log has become unreadable."""
         if not self.reason:
             self._set_reason(IncompleteReason(f"a record cannot be read any more: {error}"))
             _log.error("record unreadable", reason=self.detail)
             self._core.changed.notify()
 
     def mark_corrupted(self, detail: str) -> None:
-        """A check of the log against the members' replicas has found damage."""
+        """Mark the record as incomplete because a comparison with the members' replicas found corruption."""
         self._set_reason(self.reason or IncompleteReason(detail))
         if self._core.disk.is_open:
             self.save()
         self._core.changed.notify()
 
     def report_majority_loss(self) -> None:
-        """Log once that a majority of the group has lost records."""
+        """Log that a majority of the group has lost records, once per loss."""
         membership = self._core.membership
         affected = [name for name, peer in membership.peers.items() if peer.incomplete_reason]
         if self.reason:
@@ -109,16 +105,14 @@
             self._majority_loss_reported = True
             _log.error("a majority has come back without its records", members=sorted(affected))
 
-    # ---- complete again ----------------------------------------------------------------------------
-
     def mark_restored(self) -> None:
-        """Everything missing here has been restored from replicas of enough members."""
+        """Mark the record as complete, after it was restored from the replicas of enough members."""
         owners = sorted(self.incomplete_owners)
         _log.warning("the record is whole by its copies", doubt=self.detail, owners=owners)
         self._clear()
 
     def accept_loss(self) -> int:
-        """Operators accept the loss; return the log ticket of that."""
+        """Mark the record as complete because operators accept the loss; return the log ticket."""
         self.consensus_excluded = False
         return self._clear()
 
@@ -154,19 +148,17 @@
         elif self._scheduler:
             self._scheduler.incomplete_owners.clear()
 
-    # ---- what a poll may rely on -------------------------------------------------------------------
-
     def is_complete(self, owner: str) -> bool:
-        """Whether the record of an owner is complete here."""
+        """Return whether the record of an owner is complete on this member."""
         return self._scheduler.is_complete(owner) if self._scheduler else not self.reason
 
     def has_recorded(self, member: str, token: str) -> bool:
-        """Whether a member's present incarnation is recorded here, and no peer's directory is stale."""
+        """Return whether a member's present incarnation is recorded here and no peer's directory is stale."""
         peer = self._core.membership.peers.get(member)
         if peer is None or peer.recorded_incarnation.token != token:
             return False
         return self._core.membership.no_stale_peers
 
     def is_authoritative(self, owner: str, reader: str, token: str) -> bool:
-        """Whether this record of an owner may prove the absence of an operation to a reader."""
+        """Return whether this record of an owner can prove the absence of an operation to a reader."""
         return self.is_complete(owner) and self.has_recorded(reader, token)
--- a/frostfall/net/recovery/rollout_relay.py
+++ b/frostfall/net/recovery/rollout_relay.py
@@ -1,4 +1,4 @@
-"""Rollout state on its way to the decision module: held back until votes may be cast."""
+"""Relays the rollout state to the decision module once votes may be cast."""
 
 from __future__ import annotations
 
@@ -15,28 +15,31 @@
     """Owns the newest rollout state and the highest build that was rolled back."""
 
     def __init__(self, core: MemberCore, handler: RequestHandler) -> None:
-        """States are posted to `handler`."""
+        """Post states to `handler`."""
         self._core = core
         self._handler = handler
         self._state: api.RolloutState | None = None
         self.rolled_back_build = 0
 
     def restore(self, record: BuildRolledBack) -> None:
-        """Take over a record of the log."""
+        """Restore the highest rolled-back build from a record of the log."""
         self.rolled_back_build = max(self.rolled_back_build, record.build)
 
     def records(self) -> Iterable[MetadataRecord]:
-        """The metadata record that a new segment begins with."""
+        """Yield the metadata record that a new segment begins with, if any."""
         if self.rolled_back_build:
             yield BuildRolledBack(self.rolled_back_build)
 
     def set_initial(self, state: api.RolloutState) -> None:
-        """The configuration's state, which may be older than what is in the log."""
+        """Set the state of the configuration unless a newer state exists or the build was rolled back."""
         if self._state is None and state.build > self.rolled_back_build:
             self._state = state
 
     def update(self, state: api.RolloutState) -> None:
-        """A state of the rollout API; it is posted once votes may be cast, a reply to a vote at once."""
+        """Process a state of the rollout API.
+
+        A reply to a vote is posted at once, any other state once votes may be cast.
+        """
         if state.phase in (api.RolloutPhase.ROLLING_BACK, api.RolloutPhase.ROLLED_BACK):
             self.record_rollback(state.build)
         self._state = state
@@ -44,12 +47,12 @@
             self._handler.post(state)
 
     def release(self) -> None:
-        """Votes may be cast: post the state that was held back."""
+        """Post the latest state, as votes may be cast now."""
         if self._state:
             self._handler.post(self._state)
 
     def record_rollback(self, build: int) -> None:
-        """A build was rolled back, by the rollout API's word or a member's: append it to the log."""
+        """Record in the log that a build was rolled back, as reported by the rollout API or a member."""
         if build <= self.rolled_back_build:
             return
         self.rolled_back_build = build
--- a/frostfall/net/recovery/status.py
+++ b/frostfall/net/recovery/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a group member."""
+"""Status of a group member, as reported to operators."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from frostfall.net.recovery.record_completeness import RecordCompleteness
 from frostfall.net.replication import ReplicationDriver
 
-StatusFields = dict[str, object]  # by the name that operators read
+StatusFields = dict[str, object]  # by field name of the operators' report
 
 
 class StatusReporter:
-    """Puts together the status of one member."""
+    """Composes the status of one member."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         replica_repair: AntiEntropyDriver | None,
         consensus: ConsensusDriver | None,
     ) -> None:
-        """Drivers are None where the options switch them off."""
+        """Drivers that the options disable are None."""
         self._core = core
         self._completeness = completeness
         self._replication = replication
@@ -31,7 +31,7 @@
         self._consensus = consensus
 
     def report(self) -> StatusFields:
-        """The present status."""
+        """Return the present status."""
         core = self._core
         return {
             "name": core.name,
