--- a/frostfall/net/recovery/core.py
+++ b/frostfall/net/recovery/core.py
@@ -46,7 +46,7 @@
 
 
 class ChangeSignal:
-    """Wakes the tasks that wait for a change of the inputs of readiness."""
+    """Wakes the tasks that wait for a change of the readiness inputs."""
 
     def __init__(self) -> None:
         """Create a signal without a pending change."""
@@ -97,7 +97,7 @@
     readiness: Readiness
     inputs: ReadinessInputs
     connections: dict[str, MemberConnection]  # by member; empty until the log is open
-    changed: ChangeSignal
+    changed: ChangeSignal  # signals changes of `inputs` and `membership`
     wall_clock: Callable[[], float]  # seconds
     monotonic_clock: Callable[[], float]  # seconds
 
--- a/frostfall/net/recovery/operator_commands.py
+++ b/frostfall/net/recovery/operator_commands.py
@@ -65,7 +65,7 @@
     async def set_key(
         self, consensus: ConsensusDriver, request_id: int, operator: str, key: str, value: str
     ) -> OperatorReport:
-        """Set a key of the register if it still has the version that this member has."""
+        """Set a key of the register if its version is still the one known to this member."""
         _log.warning("register write requested", key=key, value=value, operator=operator)
         version = consensus.register.get(key).version
         succeeded = await consensus.compare_and_set(key, value, version, self._clock())
