--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -1,4 +1,4 @@
-"""The agent: composes the policy engine with the drivers around it, and owns their start and stop."""
+"""The agent: connects the policy engine with its I/O drivers and manages their lifecycle."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from frostfall.net.requests import RequestTable
 from frostfall.net.rollout_client import RolloutClient
 from frostfall.net.streams import SocketBudget, open_listener_patiently
-from frostfall.net.supervision import keep_running
+from frostfall.net.supervision import run_with_restarts
 from frostfall.net.upstream_pool import UpstreamPool
 from frostfall.policy import drain
 from frostfall.protocol.attempt_result import FinalOutcome
@@ -44,24 +44,29 @@
 if TYPE_CHECKING:
     from frostfall.net.recovery import GroupMember
 
-RESERVED_SOCKETS = (
-    32  # descriptors: a dozen of our own, connections to be rejected, and some that are closing
-)
-CLIENT_SOCKET_DIVISOR = 2  # of the descriptors: clients hold a third for requests, and some are silent
-UNREAD_MEMORY_DIVISOR = 8  # of the memory: what all clients together may have sent that is not parsed yet
-GC_THRESHOLD = 10_000  # objects allocated beyond those freed: some hundred requests in flight hold fewer
+# File descriptors: about a dozen for the agent itself, the rest for connections being rejected or closed.
+RESERVED_SOCKETS = 32
+# Clients may use half of the descriptors: a third is needed for requests, and some connections are idle.
+CLIENT_SOCKET_DIVISOR = 2
+# Unparsed input of all clients together may use an eighth of the memory.
+UNREAD_MEMORY_DIVISOR = 8
+# Net object allocations that start a collection; a few hundred requests in flight hold fewer objects.
+GC_THRESHOLD = 10_000
 
 _log = log.get_logger("agent")
 
 
 class Agent:
-    """Embeddable: `run` serves until `stop` has been called and all that was accepted is answered."""
+    """An agent that can be embedded in another program.
+
+    `run` serves until `stop` has been called and every accepted request is answered.
+    """
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
-        """Prepare an agent; nothing is opened before `run`."""
+        """Create the agent without opening sockets or files; `run` opens them."""
         self.config = config
         self.clock = clock or Clock()
-        self.engine = PolicyEngine(_usable_settings(config), config.seed)
+        self.engine = PolicyEngine(_effective_settings(config), config.seed)
         self.endpoints = EndpointList()
         self.slow_peers = SlowPeerDetector[ClientConnection](config.options.slow_peers)
         self._max_request_seconds = _max_request_seconds(config.settings)
@@ -75,7 +80,7 @@
             max_gap=_max_event_gap(config.settings),
             on_pause=self._process_paused,
         )
-        self._list_received = False  # from discovery, in this run
+        self._discovery_list_received = False  # whether discovery has sent a list to this process
         self._configure_ejections()
         self.invariants = InvariantMonitor()
         self._trace = RequestTrace(config.options.logging.requests)
@@ -117,8 +122,8 @@
             config.discovery,
             config.initial_endpoint_list.generation,
             config.settings.rules.watch_renewal_period,
-            self.list_received,
-            self._list_failed,
+            self.endpoint_list_received,
+            self._endpoint_list_failed,
             auto_restart=not config.settings.needs_watch,
             on_interruption=self._watch_interrupted,
             on_time=self._discovery_time_read,
@@ -143,21 +148,19 @@
     def _make_group_member(self) -> GroupMember | None:
         if not self.config.options.group:
             return None
-        from frostfall.net.recovery import GroupMember  # only agents in a group pay for its imports
+        from frostfall.net.recovery import GroupMember  # deferred: slow to import, and only needed in a group
 
         return GroupMember(self.config, self, self.clock.now)
 
     def _configure_ejections(self) -> None:
         self.engine.ejections.reconfigure(self.slow_peers.options.servers.apart)
 
-    # ---- events and actions ------------------------------------------------------------------------
-
     def post(self, event: api.Event) -> None:
-        """Hand an event to the policy engine; events posted meanwhile follow one at a time."""
+        """Pass an event to the policy engine; events posted while it is handled are queued."""
         self._driver.post(event)
 
     def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
-        """Give a request its final answer, whatever the engine has in flight for it."""
+        """Send the final answer of a request and cancel the attempts that the engine has in flight for it."""
         self.requests.conclude(request, answer, end)
 
     def _engine_failed(self, event: api.Event) -> None:
@@ -188,35 +191,35 @@
             case api.WriteLog(text):
                 _log.info(text)
             case api.CheckServerHealth(server):
-                # PostgreSQL's protocol has no health checks, so that one is never sent.
+                # The PostgreSQL protocol has no health checks, so the check ends without being sent.
                 self.post(api.HealthCheckEnded(server, api.Outcome.NEVER_SENT, 0))
 
-    # ---- reports of the drivers --------------------------------------------------------------------
-
-    def list_received(self, listing: EndpointListUpdate) -> None:
-        """Adopt an endpoint list, or a change of it, that discovery sent."""
-        self._list_received = True
-        self._apply_list(listing, api.ServerListKind.COMPLETE if listing.reset else api.ServerListKind.DELTA)
+    def endpoint_list_received(self, update: EndpointListUpdate) -> None:
+        """Apply a complete endpoint list or a delta received from discovery."""
+        self._discovery_list_received = True
+        self._apply_endpoint_list(
+            update, api.ServerListKind.COMPLETE if update.reset else api.ServerListKind.DELTA
+        )
 
     def rollout_changed(self, event: api.RolloutState) -> None:
-        """Adopt a state of the rollout; in a group its members' holds on votes are applied first."""
+        """Apply a new rollout state; in a group, the members' holds of votes are applied first."""
         if self._group_member:
             self._group_member.rollout_changed(event)
         else:
             self.post(event)
 
-    def _cached_list_read(self, listing: EndpointListUpdate) -> None:
-        if not self._list_received:
-            self._apply_list(listing, api.ServerListKind.CACHED)
+    def _cached_endpoint_list_read(self, update: EndpointListUpdate) -> None:
+        if not self._discovery_list_received:
+            self._apply_endpoint_list(update, api.ServerListKind.CACHED)
 
-    def _apply_list(self, listing: EndpointListUpdate, kind: api.ServerListKind) -> None:
-        event = self.endpoints.apply(listing, kind)
+    def _apply_endpoint_list(self, update: EndpointListUpdate, kind: api.ServerListKind) -> None:
+        event = self.endpoints.apply(update, kind)
         self.upstream_pool.retain_addresses(set(self.endpoints.by_server.values()))
         if self._group_member:
-            self._group_member.endpoints_changed(listing, kind is api.ServerListKind.CACHED)
+            self._group_member.endpoints_changed(update, kind is api.ServerListKind.CACHED)
         self.post(event)
 
-    def _list_failed(self) -> None:
+    def _endpoint_list_failed(self) -> None:
         self.post(api.ServerListUpdated(api.ServerListKind.FAILED, ()))
 
     def _discovery_time_read(self, time: int) -> None:
@@ -231,16 +234,14 @@
     def _gossip_received(self, sender: int, text: str) -> None:
         self.post(api.GossipReceived(sender, text))
 
-    # ---- lifecycle ---------------------------------------------------------------------------------
-
     def stop(self) -> None:
-        """Answer what has been accepted, then let `run` return."""
-        self._shutdown.order()
+        """Start a graceful shutdown: `run` returns once all accepted requests are answered."""
+        self._shutdown.request_drain()
 
     def reload(self, config: Config) -> None:
-        """Adopt the addresses of discovery and the rollout API, and the operators' options.
+        """Apply new addresses of discovery and the rollout API, and new operator options.
 
-        All else needs a restart, which is logged.
+        Other changes need a restart; their keys are logged.
         """
         with log.bind_agent_name(self.config.name):
             self._reload(config)
@@ -256,27 +257,27 @@
             self.clients.check_all()
         self._trace.enabled = plan.config.options.logging.requests
         self.config = plan.config
-        _log.info("reloaded", moved=plan.moved, needs_restart=plan.needs_restart)
+        _log.info("reloaded", moved=plan.applied_keys, needs_restart=plan.needs_restart)
 
     async def run(self, ready: Callable[[], None] | None = None) -> None:
-        """Serve until stopped; `ready` is called once clients can connect. OSError where they cannot.
+        """Serve until stopped; `ready` is called once clients can connect.
 
-        Where the task that runs this is cancelled, all that was accepted gets its final answer first, within
-        `drain.IMMEDIATE_DRAIN_SECONDS`.
+        Raises OSError if the listening socket cannot be opened. If the calling task is cancelled, every
+        accepted request first gets its final answer, within `drain.IMMEDIATE_DRAIN_SECONDS`.
         """
-        with log.bind_agent_name(self.config.name):  # another agent of this process has another name
+        with log.bind_agent_name(self.config.name):  # one process may run several agents
             listener = await open_listener_patiently(self.config.listen)
             async with anyio.create_task_group() as outer:
-                outer.start_soon(self._abandon_when_cancelled)
+                outer.start_soon(self._drain_when_cancelled)
                 with anyio.CancelScope(shield=True):
                     await self._run(listener, ready)
                 outer.cancel_scope.cancel()
 
-    async def _abandon_when_cancelled(self) -> None:
+    async def _drain_when_cancelled(self) -> None:
         try:
             await anyio.sleep_forever()
         finally:
-            self._shutdown.abandon()
+            self._shutdown.request_immediate_drain()
 
     async def _run(self, listener: socket.socket, ready: Callable[[], None] | None) -> None:
         async with anyio.create_task_group() as task_group:
@@ -296,7 +297,7 @@
             if ready:
                 ready()
             await self.clients.run(listener)
-            self._shutdown.finished()
+            self._shutdown.record_stopped()
             task_group.cancel_scope.cancel()
         self.upstream_pool.close()
         if self._group_member:
@@ -304,15 +305,17 @@
         _log.info("stopped")
 
     def _apply_initial_state(self) -> None:
-        """Adopt the endpoint list and the rollout's state that came with the configuration."""
-        listing, rollout_state, member = (
+        """Apply the endpoint list and the rollout state from the configuration."""
+        endpoint_list, rollout_state, member = (
             self.config.initial_endpoint_list,
             self.config.initial_rollout,
             self._group_member,
         )
-        # No watch stands yet, also where lists are pushed; so nobody vouches for the list that follows.
+        # No watch is open yet, even if lists are pushed; so no source confirms the list applied next.
         self._watch_interrupted(api.WatchInterruption.NOT_OPEN)
-        self._apply_list(member.usable_endpoints(listing) if member else listing, api.ServerListKind.CACHED)
+        self._apply_endpoint_list(
+            member.usable_endpoints(endpoint_list) if member else endpoint_list, api.ServerListKind.CACHED
+        )
         if rollout_state:
             (member.set_initial_rollout if member else self.post)(rollout_state)
 
@@ -331,13 +334,13 @@
         if self._gossip:
             loops["gossip"] = self._gossip.run
         for name, loop in loops.items():
-            task_group.start_soon(keep_running, name, loop)
+            task_group.start_soon(run_with_restarts, name, loop)
         task_group.start_soon(self._shutdown.run)
 
     async def _run_group_member(self, member: GroupMember) -> None:
         try:
-            await member.run(self._cached_list_read)
-        except Exception:  # without its record this process may not go on, but it ends in good order
+            await member.run(self._cached_endpoint_list_read)
+        except Exception:  # without its operation log the agent must not continue: shut down gracefully
             _log.exception("group member failed")
             self.stop()
 
@@ -362,18 +365,21 @@
 
 
 def _max_request_seconds(settings: Settings) -> float:
-    """The time from a request's arrival after which its answer is of no use in any class."""
+    """Return the seconds after which the answer to a request of any class is useless."""
     longest_deadline = max(request_class.deadline for request_class in settings.classes)
     return (longest_deadline + settings.rules.answer_slack) / 1e6
 
 
 def _max_event_gap(settings: Settings) -> int:
-    """The microseconds between two events beyond which the grace of a drain may have passed unnoticed."""
+    """Return the longest gap between two events, in microseconds, that counts as normal operation.
+
+    After a longer gap, the drain grace of a server may have ended unnoticed.
+    """
     return max(settings.rules.drain_grace - drain.MAX_PAUSE_MICROSECONDS, drain.MAX_PAUSE_MICROSECONDS)
 
 
-def _usable_settings(config: Config) -> Settings:
-    """The settings, without gossip where the configuration names nobody to exchange it with."""
+def _effective_settings(config: Config) -> Settings:
+    """Return the settings, with gossip disabled if the configuration names no peers."""
     settings = config.settings
     if config.peer_listen and len(config.peers) > 1:
         return settings
@@ -393,5 +399,5 @@
 
 def _tune_garbage_collection() -> None:
     gc.collect()
-    gc.freeze()  # what the start left stays for good, so that collections need not go through it
+    gc.freeze()  # objects created at startup are permanent, so collections need not traverse them
     gc.set_threshold(GC_THRESHOLD)
--- a/frostfall/net/client_connection.py
+++ b/frostfall/net/client_connection.py
@@ -96,7 +96,7 @@
             self._answer_remaining()
             self._pending.may_close(self)
         self._disconnected = True
-        self._pending.client_left(self)
+        self._pending.discard(self)
         self._handler.client_disconnected(self)
         self._stream.close()
         if self._pending.trace.enabled and self._close_reason:
@@ -263,7 +263,7 @@
             return
         self._disconnected = True
         self._close_reason = reason
-        self._pending.client_left(self)
+        self._pending.discard(self)
         self._scope.cancel()
 
     def _reject(self, why: pg.MalformedReason, text: str | None = None) -> None:
--- a/frostfall/net/client_connections.py
+++ b/frostfall/net/client_connections.py
@@ -25,7 +25,7 @@
 from frostfall.net.pending_answers import PendingAnswers
 from frostfall.net.reasons import CloseReason
 from frostfall.net.streams import SocketBudget, Stream
-from frostfall.net.supervision import keep_running
+from frostfall.net.supervision import run_with_restarts
 
 NEW_CONNECTION_GRACE_SECONDS = 0.05  # a usual client writes at once; until then it does not count as silent
 ACCEPT_PENDING_SECONDS = 0.6  # for those that the kernel has accepted as accepting ends, also in a crowd
@@ -93,7 +93,7 @@
                 async with anyio.create_task_group() as self._connection_tasks:
                     acceptor = ClientAcceptor(listener, self)
                     with anyio.CancelScope() as self._accepting:
-                        await keep_running("accept", acceptor.run)
+                        await run_with_restarts("accept", acceptor.run)
                     # What the kernel has accepted by now would be reset as the listener closes.
                     with anyio.move_on_after(ACCEPT_PENDING_SECONDS) as self._accepting_last:
                         await self._accept_pending(acceptor)
--- a/frostfall/net/engine_driver.py
+++ b/frostfall/net/engine_driver.py
@@ -1,4 +1,4 @@
-"""Runs the policy engine: one event at a time in, its actions out."""
+"""Passes events to the policy engine one at a time and executes the resulting actions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 from frostfall.engine.policy_engine import PolicyEngine
 from frostfall.net.clock import Clock
 
-NO_GAP = 1 << 62  # microseconds; no gap between events is longer
+UNLIMITED_GAP = 1 << 62  # microseconds; disables pause detection
 
 _log = log.get_logger("agent")
 
 
 class EngineDriver:
-    """Serialises events; a fault in the engine or in an action ends neither the agent nor its timers."""
+    """Serialises events for the engine.
+
+    An exception in the engine or in an action stops neither the agent nor its timers.
+    """
 
     def __init__(
         self,
@@ -24,13 +27,14 @@
         clock: Clock,
         execute: Callable[[api.Action], None],
         on_fault: Callable[[api.Event], None],
-        max_gap: int = NO_GAP,
+        max_gap: int = UNLIMITED_GAP,
         on_pause: Callable[[], None] = lambda: None,
     ) -> None:
-        """`execute` carries out an action; `on_fault` is called with the event that the engine failed on.
+        """Create a driver that has not been started.
 
-        `on_pause` is called before an event that follows the last one after more than `max_gap` microseconds:
-        the engine's own timers come more often, so that the process was stopped.
+        `execute` executes an action; `on_fault` receives the event on which the engine raised an exception.
+        `on_pause` is called before an event that comes more than `max_gap` microseconds after the previous
+        one: the engine's own timers fire more often, so the process must have been paused.
         """
         self._engine = engine
         self._clock = clock
@@ -43,13 +47,13 @@
         self._handling = False
 
     def start(self) -> None:
-        """Carry out what the engine wants done before the first event."""
+        """Execute the actions that the engine requests before the first event."""
         self._last_event_at = self._clock.now()
         for action in self._engine.start(self._last_event_at):
             self._execute(action)
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the engine; those posted while it is handled follow in order."""
+        """Pass an event to the engine; events posted while one is handled are queued in order."""
         self.notice_pause()
         self._events.append(event)
         if self._handling:
@@ -62,12 +66,12 @@
             self._handling = False
 
     def may_write(self, now: int, request: str, attempt: int) -> bool:
-        """The engine's last word before an attempt goes out, in a process that has not just been stopped."""
+        """Return whether the engine lets an attempt be written, after checking for a pause of the process."""
         self.notice_pause()
         return self._engine.may_write(now, request, attempt)
 
     def notice_pause(self) -> None:
-        """Call `on_pause` if the process has been stopped since the last event."""
+        """Call `on_pause` if the process has been paused since the last event."""
         now = self._clock.now()
         gap, self._last_event_at = now - self._last_event_at, now
         if gap > self._max_gap:
@@ -78,13 +82,13 @@
         try:
             actions = self._engine.handle(self._clock.now(), event)
         except Exception:
-            # Fault barrier: a bug in one decision must cost neither a request its answer nor the agent its
-            # life. Timers set before the fault still count, as a lost one would end all exchanges and votes.
+            # Fault barrier: a bug in one decision must neither leave a request unanswered nor end the agent.
+            # Timers set before the exception are kept: losing one would stop all gossip exchanges and votes.
             _log.exception("decision failed", event_type=type(event).__name__)
             self._on_fault(event)
             actions = [action for action in self._engine.actions if isinstance(action, api.SetTimer)]
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:  # the other actions of this decision must still be carried out
+            except Exception:  # the remaining actions of this event must still be executed
                 _log.exception("action failed", action=type(action).__name__)
--- a/frostfall/net/graceful_shutdown.py
+++ b/frostfall/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The agent's end: admission stops, what was accepted is answered, and all connections close."""
+"""Graceful shutdown: admission ends, accepted requests are answered, and all connections close."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class AgentState(Enum):
-    """What the agent does with connections and queries; each change is logged."""
+    """How the agent treats connections and queries; each change is logged."""
 
     ACCEPTING = "accepting"
-    DRAINING = "draining"  # connections end with their answers; new ones still come
-    CLOSING = "closing"  # no connection is accepted, and further queries are rejected
+    DRAINING = "draining"  # connections close after their answer; new connections are still accepted
+    CLOSING = "closing"  # new connections and queries are rejected
     STOPPED = "stopped"
 
 
 class GracefulShutdown:
-    """Leads the agent from `ACCEPTING` to `STOPPED`, by a schedule."""
+    """Takes the agent from `ACCEPTING` to `STOPPED` according to a drain schedule."""
 
     def __init__(
         self,
@@ -38,55 +38,61 @@
         pending_answers: PendingAnswers,
         longest_deadline: float,
     ) -> None:
-        """`longest_deadline`: of all request classes, in seconds."""
+        """Create a shutdown that has not been requested.
+
+        `longest_deadline` is the longest deadline of all request classes, in seconds.
+        """
         self.state = AgentState.ACCEPTING
         self._clock = clock
         self._clients = clients
         self._requests = requests
         self._pending_answers = pending_answers
         self._longest_deadline = longest_deadline
-        self._ordered = anyio.Event()
-        self._abandoned = anyio.Event()
+        self._drain_requested = anyio.Event()
+        self._immediate_drain_requested = anyio.Event()
 
-    def order(self) -> None:
-        """Begin to drain; no effect on a drain that has begun."""
-        self._ordered.set()
+    def request_drain(self) -> None:
+        """Start draining; has no effect if the drain has started."""
+        self._drain_requested.set()
 
-    def abandon(self) -> None:
-        """Give all that is open its final answer now, and end."""
-        self._abandoned.set()
-        self._ordered.set()
+    def request_immediate_drain(self) -> None:
+        """Answer all open requests now, then stop."""
+        self._immediate_drain_requested.set()
+        self._drain_requested.set()
 
     async def run(self) -> None:
-        """Wait for the order, then drain; what has not ended by the end of the schedule is cut off."""
-        await self._ordered.wait()
+        """Wait until a drain is requested, then drain; abort connections left when the schedule ends."""
+        await self._drain_requested.wait()
         schedule = drain.graceful(monotonic(), self._longest_deadline)
-        self._enter(AgentState.DRAINING)
-        self._requests.limit_deadlines(self._clock.now() + _micros_until(schedule.answers_due_at))
+        self._set_state(AgentState.DRAINING)
+        self._requests.limit_deadlines(self._clock.now() + _microseconds_until(schedule.answers_due_at))
         self._clients.drain()
         schedule = await self._wait_until(schedule.admission_ends_at, schedule)
-        self._enter(AgentState.CLOSING)
+        self._set_state(AgentState.CLOSING)
         self._pending_answers.end_admission()
         self._clients.stop()
         schedule = await self._wait_until(schedule.answers_due_at, schedule)
-        self._requests.give_up_all()
+        self._requests.answer_all()
         self._clients.finish()
         await anyio.sleep(max(schedule.exit_at - monotonic(), 0.0))
         _log.warning("stopped before all was read", clients=len(self._clients))
         self._clients.cut_off()
 
-    def finished(self) -> None:
-        """All connections have ended."""
+    def record_stopped(self) -> None:
+        """Enter `STOPPED`, as all connections have closed."""
         self._pending_answers.may_exit()
-        self._enter(AgentState.STOPPED)
+        self._set_state(AgentState.STOPPED)
 
     async def _wait_until(self, moment: float, schedule: DrainSchedule) -> DrainSchedule:
-        """Wait for a moment of the schedule; the one to go on by, which is another if abandoned meanwhile."""
+        """Wait until a time of the schedule, in monotonic seconds; return the schedule to continue with.
+
+        An immediate shutdown ends the wait and replaces the schedule.
+        """
         with anyio.move_on_after(max(moment - monotonic(), 0.0)):
-            await self._abandoned.wait()
-        return drain.immediate(monotonic()) if self._abandoned.is_set() else schedule
+            await self._immediate_drain_requested.wait()
+        return drain.immediate(monotonic()) if self._immediate_drain_requested.is_set() else schedule
 
-    def _enter(self, state: AgentState) -> None:
+    def _set_state(self, state: AgentState) -> None:
         self.state = state
         _log.info(
             "state",
@@ -97,5 +103,5 @@
         )
 
 
-def _micros_until(moment: float) -> int:
+def _microseconds_until(moment: float) -> int:
     return int((moment - monotonic()) * 1e6)
--- a/frostfall/net/operations/__init__.py
+++ b/frostfall/net/operations/__init__.py
@@ -1,4 +1,4 @@
-"""Non-idempotent operations in a running agent: each is executed at most once over all its attempts."""
+"""Non-idempotent operations of a running agent: each is executed at most once across all its attempts."""
 
 from frostfall.net.operations.context import OperationContext
 from frostfall.net.operations.coordinator import OperationCoordinator
--- a/frostfall/net/operations/context.py
+++ b/frostfall/net/operations/context.py
@@ -1,4 +1,4 @@
-"""What the parts of operation handling share."""
+"""Shared dependencies of the operation handling."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from frostfall.recovery.retry_after import RetryAfterJitter
 from frostfall.replication.replica_store import ReplicaStore
 
-DEADLINE_MARGIN = 10_000  # microseconds before its deadline at which a waiting attempt is given up
-MICROSECONDS = 1e6  # in a second
-MILLISECONDS = 1000  # in a second
+DEADLINE_MARGIN = 10_000  # microseconds; a waiting attempt is abandoned this long before its deadline
+MICROSECONDS_PER_SECOND = 1e6
+MILLISECONDS_PER_SECOND = 1000
 
 
 @dataclass(slots=True)
 class OperationContext:
-    """The state machines and drivers that operations use; each has its owner elsewhere."""
+    """The state machines and drivers that operations use; other modules own them."""
 
-    name: str  # of this member
+    name: str  # name of this member
     options: GroupOptions
     idempotency: dict[str, api.Idempotency]  # by request class
     handler: RequestHandler
-    clock: Callable[[], int]  # microseconds, as deadlines count them
+    clock: Callable[[], int]  # microseconds, on the same clock as deadlines
     monotonic_clock: Callable[[], float]  # seconds
     retry_after: RetryAfterJitter
     operation_log: OperationLog
@@ -44,31 +44,35 @@
     membership: MemberList
     readiness: Readiness
     inputs: ReadinessInputs
-    connections: dict[str, MemberConnection]  # by member
+    connections: dict[str, MemberConnection]  # by member name
     replication: ReplicationDriver | None
-    on_unreadable: Callable[[Exception], None]  # told when the log cannot be read
+    on_unreadable: Callable[[Exception], None]  # called with the error when the log cannot be read
     is_complete: Callable[[str], bool]  # whether an owner's record is complete here
-    task_group: TaskGroup | None = None  # set once the member runs
-    removed_members: list[str] = field(init=False)  # removed for good; their replicas are still read
+    task_group: TaskGroup | None = None  # set when the member starts running
+    removed_members: list[str] = field(
+        init=False
+    )  # permanently removed; replicas of their records are still read
 
     def __post_init__(self) -> None:
-        """Note the members that were removed."""
+        """Collect the names of the removed members."""
         self.removed_members = [member.name for member in self.options.members if member.gone]
 
     def seconds_left(self, deadline: int) -> float:
-        """Seconds until a request with this deadline (microseconds) has to be given up."""
-        return max(deadline - DEADLINE_MARGIN - self.clock(), 0) / MICROSECONDS
+        """Return the seconds until a request with this deadline (microseconds) must be abandoned."""
+        return max(deadline - DEADLINE_MARGIN - self.clock(), 0) / MICROSECONDS_PER_SECOND
 
     def poll_timeout(self, deadline: int) -> float:
-        """Seconds that a poll for a request with this deadline (microseconds) may take."""
+        """Return the seconds that a poll for a request with this deadline (microseconds) may take."""
         return min(self.options.waits.ask, self.seconds_left(deadline))
 
     def rejection(self) -> bytes:
-        """The answer to an attempt that a client may safely retry, with the time after which to do so."""
-        return rejection_answer(int(self.retry_after.next_delay(self.monotonic_clock()) * MILLISECONDS))
+        """Return a rejection, with a Retry-After time, of an attempt that the client may safely retry."""
+        return rejection_answer(
+            int(self.retry_after.next_delay(self.monotonic_clock()) * MILLISECONDS_PER_SECOND)
+        )
 
     def conclude(self, request: str, result: OperationResult | None) -> None:
-        """Answer a request with the result of its operation; None: it may have run."""
+        """Answer a request with the result of its operation; None means that it may have run."""
         served = result is not None and result.is_answered
         self.handler.conclude(
             request, encode_result(result), FinalOutcome.SERVED if served else FinalOutcome.FAILED
@@ -76,7 +80,7 @@
 
 
 def encode_result(result: OperationResult | None) -> bytes:
-    """The answer to a client: the operation's own where it is known, else that it may have run."""
+    """Return the stored answer of an operation, or else a failure: the operation may have run."""
     if result is not None and result.is_answered and result.answer is not None:
         return result.answer + READY_FOR_QUERY
     return failure_answer()
--- a/frostfall/net/operations/coordinator.py
+++ b/frostfall/net/operations/coordinator.py
@@ -1,4 +1,4 @@
-"""Clients' attempts at operations: admitted, joined, answered again, or passed on to the decision module."""
+"""Coordinates client attempts at operations: starts, joins, replays or rejects them."""
 
 from __future__ import annotations
 
@@ -29,27 +29,25 @@
 from frostfall.recovery.readiness import ReadinessStage
 from frostfall.storage.segment_codec import RecordState
 
-REFUSAL_POLL_TIMEOUT = 100_000  # microseconds: a drain leaves 0.25 s for its last answers
+REJECTION_POLL_TIMEOUT = 100_000  # microseconds; a drain leaves 0.25 s for the last answers
 
 
 class OperationCoordinator:
-    """Owns which request executes which operation."""
+    """Maps requests to the operations that they execute."""
 
     def __init__(self, context: OperationContext) -> None:
-        """The context's task group is set before anything else is called."""
+        """Create a coordinator; the context's task group must be set before other methods are called."""
         self._context = context
         self._peer_poll = PeerPoll(context.membership, context.connections)
         self._settlement = OperationSettlement(context, self._peer_poll)
         self._endings = OperationEndings(context)
         self._authorizer = DispatchAuthorizer(context, self._peer_poll, self._settlement, self._endings)
-        self._operations: dict[str, Operation] = {}  # by request
-
-    # ---- admission ---------------------------------------------------------------------------------
+        self._operations: dict[str, Operation] = {}  # by request id
 
     def handle_query(self, statement: Statement, client: WaitingClient, deadline: int) -> bool:
-        """Take a client's query; False where the decision module is to execute it.
+        """Handle a client's query; return False if the policy engine must execute it.
 
-        `deadline` is in microseconds, as everywhere here.
+        `deadline` is in microseconds, as in all methods of this class.
         """
         idempotency = self._context.idempotency[statement.class_name]
         if idempotency is not api.Idempotency.NON_IDEMPOTENT:
@@ -68,13 +66,13 @@
             case AdmissionDecision.REPLAY:
                 self._replay(name, admission.result, ClientAttempt(client, statement.request), deadline)
             case AdmissionDecision.RETRY:
-                # It never ran here, but an earlier attempt may have run at another member.
+                # The operation never ran here, but an earlier attempt may have run at another member.
                 may_have_run = self._may_be_retry(statement)
                 client.answer(failure_answer() if may_have_run else self._context.rejection())
             case AdmissionDecision.JOIN:
                 self._join(name, ClientAttempt(client, statement.request), deadline)
             case AdmissionDecision.START | AdmissionDecision.POLL_PEERS:
-                return self._begin(name, admission, statement, client, deadline)
+                return self._start_operation(name, admission, statement, client, deadline)
         return True
 
     def _reject_unless_ready(self, idempotency: api.Idempotency, client: WaitingClient) -> bool:
@@ -94,15 +92,18 @@
         self, name: str, result: OperationResult | None, attempt: ClientAttempt, deadline: int
     ) -> None:
         if result is None or result.status is OperationStatus.FAILED:
-            # It may have run by this member's hand, and another one may know that it did.
+            # This member may have run the operation, and another member may have its result.
             self._look_up(name, attempt, deadline)
         else:
             attempt.client.answer(encode_result(result))
 
-    def _begin(
+    def _start_operation(
         self, name: str, admission: Admission, statement: Statement, client: WaitingClient, deadline: int
     ) -> bool:
-        """Begin an operation, unless a replica has its answer or this member is not ready for it."""
+        """Start an operation, unless a replica has its answer or this member is not ready.
+
+        Returns False if the operation was started.
+        """
         in_progress, log_replayed = self._context.operation_log.in_progress, self._context.inputs.log_replayed
         must_poll = admission.decision is AdmissionDecision.POLL_PEERS
         if must_poll and log_replayed and (result := self._replicated_answer(name)):
@@ -116,7 +117,7 @@
             return False
         if log_replayed:
             self._abandon(in_progress[name])
-        # An earlier attempt may have run, so that calling a retry harmless could be wrong.
+        # An earlier attempt may have run, so a rejection could wrongly declare a retry safe.
         if self._may_be_retry(statement):
             self._look_up(name, ClientAttempt(client, statement.request), deadline)
         else:
@@ -124,11 +125,11 @@
         return True
 
     def _abandon(self, operation: Operation) -> None:
-        """Forget an operation that was admitted, and of which nothing was written."""
+        """End an admitted operation of which nothing has been written."""
         self._context.operation_log.record_end(operation, RecordState.NOT_EXECUTED)
 
     def _replicated_answer(self, name: str) -> OperationResult | None:
-        """The answer that another member gave, where its replica is here."""
+        """Return the answer of another member, if a replica of its record here contains the answer."""
         context = self._context
         if context.replication is None:
             return None
@@ -143,7 +144,7 @@
         return next((result for result in results if result.is_answered), None)
 
     def _look_up(self, name: str, attempt: ClientAttempt, deadline: int) -> None:
-        """Answer an attempt with what other members know; without any, that it may have run."""
+        """Answer an attempt with the result that other members report, else that it may have run."""
         if not (self._context.task_group and self._context.connections):
             attempt.client.answer(failure_answer())
             return
@@ -154,7 +155,7 @@
         self._context.task_group.start_soon(look_up)
 
     def _join(self, name: str, attempt: ClientAttempt, deadline: int) -> None:
-        """Let an attempt wait for the end of an operation in progress, until its own deadline."""
+        """Make an attempt wait for the end of an operation in progress, up to the attempt's own deadline."""
         operation = self._context.operation_log.in_progress[name]
         operation.waiters.append(attempt)
 
@@ -168,7 +169,7 @@
             self._context.task_group.start_soon(expire)
 
     def is_known(self, statement: Statement) -> bool:
-        """Whether this retries an operation that is known here."""
+        """Return whether the statement retries an operation that is recorded here."""
         idempotency = self._context.idempotency[statement.class_name]
         if idempotency is not api.Idempotency.NON_IDEMPOTENT or not self._context.inputs.log_replayed:
             return False
@@ -184,12 +185,10 @@
     def _may_be_retry(self, statement: Statement) -> bool:
         return statement.is_retry or not self._context.options.retries_marked
 
-    # ---- execution ---------------------------------------------------------------------------------
-
     async def authorize_dispatch(self, request: str, is_over: Callable[[], bool], deadline: int) -> bool:
-        """Wait until an attempt may be sent to a server; False where it never will be.
+        """Wait until an attempt may be sent to a server; return False if it must not be sent.
 
-        True is returned without a task switch after the last check.
+        No task switch happens between the last check and the return of True.
         """
         operation = self._operations.get(request)
         if operation is None:
@@ -197,7 +196,7 @@
         return await self._authorizer.authorize(request, operation, is_over, deadline)
 
     def attempt_ended(self, request: str, ending: AttemptResult) -> None:
-        """An attempt has ended, also one whose request is done."""
+        """Record the end of an attempt, even if its request is already answered."""
         operation = self._operations.get(request)
         if operation is None:
             return
@@ -207,37 +206,37 @@
             operation.may_have_run = True
 
     def finish_request(
-        self, request: str, answer: bytes, end: FinalOutcome, client: WaitingClient, over: bool
+        self, request: str, answer: bytes, end: FinalOutcome, client: WaitingClient, all_attempts_ended: bool
     ) -> None:
-        """Give a request's final answer: at once, but a non-idempotent one's that was served once durable.
+        """Send a request's final answer; a served non-idempotent operation is answered once it is durable.
 
-        `over`: none of its attempts is in flight.
+        `all_attempts_ended` is true if the request has no attempts in flight.
         """
         attempt, operation = ClientAttempt(client, request), self._operations.get(request)
         if operation is None:
             attempt.notify(answer)
             return
-        if over:
+        if all_attempts_ended:
             del self._operations[request]
         if end is FinalOutcome.SERVED:
             self._finish_served(operation, attempt, answer)
             return
         if end is FinalOutcome.REJECTED and operation.needs_poll and not operation.confirmed_absent:
-            self._refuse_if_absent(operation, attempt, answer)
+            self._reject_if_absent(operation, attempt, answer)
             return
         has_run = end is FinalOutcome.FAILED and operation.dispatched
         self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
         attempt.notify(answer)
         self._endings.notify(operation, answer)
 
-    def _refuse_if_absent(self, operation: Operation, attempt: ClientAttempt, rejection: bytes) -> None:
-        """End an operation that never ran here, and whose earlier attempt may have run at another member.
+    def _reject_if_absent(self, operation: Operation, attempt: ClientAttempt, rejection: bytes) -> None:
+        """End an operation that never ran here, and poll the members before answering its clients.
 
-        The request was turned away before the members were polled, as an overloaded agent does. Without a
-        poll its client could only be told that the operation may have run.
+        An overloaded agent rejects a request before polling the members, and an earlier attempt may have run
+        at one of them. Without the poll, the answer would have to be that the operation may have run.
         """
         self._endings.end(operation, RecordState.NOT_EXECUTED)
-        poll_until = self._context.clock() + REFUSAL_POLL_TIMEOUT + DEADLINE_MARGIN
+        poll_until = self._context.clock() + REJECTION_POLL_TIMEOUT + DEADLINE_MARGIN
         deadline = min(operation.client_deadline, poll_until)
 
         operation.waiters.insert(0, attempt)
@@ -256,15 +255,15 @@
         if self._context.operation_log.is_in_progress(operation):
             operation.waiters.insert(0, attempt)
             self._endings.end(operation, RecordState.SERVED, answer[: -len(READY_FOR_QUERY)])
-        else:  # it was served by another member
+        else:  # another member served the operation
             attempt.notify(answer)
             self._endings.notify(operation, answer)
 
     def request_closed(self, request: str) -> None:
-        """A request is over with all its attempts."""
+        """Remove a request that is done and whose attempts have all ended."""
         operation = self._operations.pop(request, None)
         if operation and self._context.operation_log.is_in_progress(operation):
-            # its client disconnected before the operation ended
+            # The client disconnected before the operation ended.
             has_run = operation.may_have_run
             self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
             self._endings.notify(operation, failure_answer())
--- a/frostfall/net/operations/dispatch.py
+++ b/frostfall/net/operations/dispatch.py
@@ -1,4 +1,4 @@
-"""Decides when an attempt at an operation may be sent to a server."""
+"""Authorizes the dispatch of attempts at operations to servers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import anyio
 
-from frostfall.net.operations.context import DEADLINE_MARGIN, MICROSECONDS, OperationContext
+from frostfall.net.operations.context import DEADLINE_MARGIN, MICROSECONDS_PER_SECOND, OperationContext
 from frostfall.net.operations.endings import OperationEndings
 from frostfall.net.operations.peer_poll import POLL_INTERVAL, PeerPoll, PollReplies, incarnations_agreed
 from frostfall.net.operations.settlement import OperationSettlement
@@ -16,11 +16,11 @@
 from frostfall.replication.replica_store import ReplicaUpdate
 from frostfall.storage.segment_codec import RecordState
 
-FOLLOW_TIMEOUT = POLL_INTERVAL * 4  # seconds for a poll about an operation in progress elsewhere
+FOLLOW_TIMEOUT = POLL_INTERVAL * 4  # seconds; for a poll about an operation that another member executes
 
 
 class DispatchAuthorizer:
-    """Waits until an intent is durable and replicated, and no other member can have run the operation."""
+    """Authorizes a dispatch once its intent is durable and replicated and no other member can have run it."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         settlement: OperationSettlement,
         endings: OperationEndings,
     ) -> None:
-        """Requests whose operation must not be begun here are answered through the context's handler."""
+        """Create an authorizer; the context's handler answers requests that must not be dispatched."""
         self._context = context
         self._peer_poll = peer_poll
         self._settlement = settlement
@@ -38,15 +38,15 @@
     async def authorize(
         self, request: str, operation: Operation, is_over: Callable[[], bool], deadline: int
     ) -> bool:
-        """Wait until an attempt may be sent; False where it never will be, and the request is answered.
+        """Wait until an attempt may be sent; return False if it must not be, after answering the request.
 
-        True is returned without a task switch after the last check. `deadline` is in microseconds.
+        No task switch happens between the last check and the return of True. `deadline` is in microseconds.
         """
         if not self._context.operation_log.is_in_progress(operation):
             return False
         if not await self._lacks_earlier_attempts(operation, deadline):
-            # An earlier attempt here may have failed, and one at another member been served.
-            await self._answer_from_elsewhere(request, operation, deadline)
+            # An earlier attempt may have failed here and another one may have been served elsewhere.
+            await self._answer_from_members(request, operation, deadline)
             return False
         if not await self._wait_intent(operation, is_over, deadline):
             await self._answer_without_intent(request, operation, deadline)
@@ -55,12 +55,13 @@
         if must_poll and not await self._confirm_absent(request, operation, deadline):
             return False
         allowed = not is_over() and self._may_dispatch(operation)
-        # Noted before the write: after it, a disk failing meanwhile would make it look as if there was none.
+        # Set before the write: if set afterwards, a disk failure in between would make the operation look as
+        # if no attempt had been sent.
         operation.dispatched = operation.dispatched or allowed
         return allowed
 
     async def _lacks_earlier_attempts(self, operation: Operation, deadline: int) -> bool:
-        """Whether the own record is complete, or the own replicas lack earlier attempts too."""
+        """Return whether this member's record is complete, or its replicas also lack earlier attempts."""
         if self._context.replication is None or self._context.operation_log.incomplete_reason is None:
             return True
         if not operation.needs_poll or operation.confirmed_by_replicas:
@@ -78,14 +79,12 @@
         )
 
     def _has_write_quorum(self, operation: Operation) -> bool:
-        """Whether enough holders still have the intent: one may have lost its disk since."""
+        """Return whether enough holders still have the intent: a holder may have lost its disk since."""
         replication = self._context.replication
         return replication is None or replication.has_write_quorum(operation.acknowledged_by)
 
-    # ---- the intent --------------------------------------------------------------------------------
-
     async def _wait_intent(self, operation: Operation, is_over: Callable[[], bool], deadline: int) -> bool:
-        """Wait until the intent is durable here and, where there are replicas, at enough holders."""
+        """Wait until the intent is durable here and, if replication is on, at enough holders."""
         disk, replication = self._context.disk, self._context.replication
         ticket = self._context.operation_log.record_intent(operation)
         disk.wake()
@@ -110,23 +109,21 @@
         return durable and replicated
 
     async def _answer_without_intent(self, request: str, operation: Operation, deadline: int) -> None:
-        if operation.fenced:  # other members have settled the operation, and know its result
-            await self._answer_from_elsewhere(request, operation, deadline)
+        if operation.fenced:  # other members have settled the operation and have its result
+            await self._answer_from_members(request, operation, deadline)
         elif operation.confirmed_absent or not operation.needs_poll:
             self._context.handler.conclude(request, self._context.rejection(), FinalOutcome.REJECTED)
         else:
             self._context.handler.conclude(request, failure_answer(), FinalOutcome.FAILED)
 
-    async def _answer_from_elsewhere(self, request: str, operation: Operation, deadline: int) -> None:
-        """Give a request what others know of its operation, which must not be begun here."""
+    async def _answer_from_members(self, request: str, operation: Operation, deadline: int) -> None:
+        """Answer a request whose operation must not start here with the result that other members have."""
         self._endings.end(operation, RecordState.NOT_EXECUTED)
         result = await self._settlement.find_result(operation.name, deadline)
         self._context.conclude(request, result)
 
-    # ---- the other members -------------------------------------------------------------------------
-
     async def _confirm_absent(self, request: str, operation: Operation, deadline: int) -> bool:
-        """Poll all members; whether none can have run the operation, else the request is answered."""
+        """Poll all members; return whether none can have run the operation, else answer the request."""
         operation_log, members = self._context.operation_log, self._peer_poll.members
         operation_log.start_poll(operation, members)
         replies = await self._poll_until_agreed(operation, members, deadline)
@@ -139,14 +136,14 @@
             return operation_log.is_in_progress(operation)
         executing = replies.members_reporting(OperationStatus.IN_PROGRESS)
         if result is None and executing:
-            result = await self._yield_to(executing, operation, deadline)
+            result = await self._await_executing_members(executing, operation, deadline)
         self._context.conclude(request, result)
         return False
 
     async def _poll_until_agreed(
         self, operation: Operation, members: list[str], deadline: int
     ) -> PollReplies:
-        """Poll until one member has more to say than ABSENT, or all have recorded each other as well."""
+        """Poll until a member replies other than ABSENT, or all have recorded each other's incarnations."""
         context = self._context
         until = context.monotonic_clock() + context.poll_timeout(deadline)
         while True:
@@ -161,14 +158,14 @@
                 return replies
             if context.monotonic_clock() >= until - POLL_INTERVAL:
                 return replies
-            await anyio.sleep(POLL_INTERVAL)  # they have not all recorded each other's incarnations yet
+            await anyio.sleep(POLL_INTERVAL)  # some members have not recorded each other's incarnations yet
 
-    async def _yield_to(
+    async def _await_executing_members(
         self, executing: list[str], operation: Operation, deadline: int
     ) -> OperationResult | None:
-        """Give way to members that have an intent too, and wait for their result."""
+        """End the operation here in favour of members that also have an intent; wait for their result."""
         self._endings.end(operation, RecordState.NOT_EXECUTED)
-        give_up_at = deadline - DEADLINE_MARGIN - POLL_INTERVAL * MICROSECONDS
+        give_up_at = deadline - DEADLINE_MARGIN - POLL_INTERVAL * MICROSECONDS_PER_SECOND
         result: OperationResult | None = None
         while result is None and executing and self._context.clock() < give_up_at:
             await anyio.sleep(POLL_INTERVAL)
--- a/frostfall/net/operations/interfaces.py
+++ b/frostfall/net/operations/interfaces.py
@@ -1,4 +1,4 @@
-"""What operations need of the agent and of its clients' connections."""
+"""Interfaces of the agent and client connections that operations use."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class WaitingClient(Protocol):
-    """A client's connection, as far as operations need it."""
+    """The part of a client connection that operations use."""
 
-    request: str | None  # the request that it waits for
+    request: str | None  # id of the request whose answer the client awaits
 
     def answer(self, data: bytes) -> None:
-        """Give the final answer."""
+        """Send the final answer."""
 
 
 class RequestHandler(Protocol):
-    """The agent, as far as operations and recovery need it."""
+    """The part of the agent that operations and recovery use."""
 
     def post(self, event: api.Event) -> None:
-        """Post an event to the decision module."""
+        """Post an event to the policy engine."""
 
     def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
-        """Give a request its final answer, whatever the decision module has in flight for it."""
+        """Send the final answer of a request and cancel the attempts in flight for it."""
 
     def stop(self) -> None:
         """Shut down gracefully."""
@@ -33,12 +33,12 @@
 
 @dataclass(eq=False, frozen=True, slots=True)
 class ClientAttempt:
-    """A client's attempt that waits for the end of an operation."""
+    """A client's attempt that awaits the end of an operation."""
 
     client: WaitingClient
     request: str
 
     def notify(self, answer: bytes) -> None:
-        """Answer the client, if it still waits for this request."""
+        """Answer the client if it still awaits this request."""
         if self.client.request == self.request:
             self.client.answer(answer)
--- a/frostfall/net/operations/peer_poll.py
+++ b/frostfall/net/operations/peer_poll.py
@@ -1,4 +1,4 @@
-"""Polls the other members for what they know of an operation."""
+"""Polls the other members for the status of an operation."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from frostfall.net.member_transport import MemberConnection, PeerOperationStatus
 from frostfall.recovery.operation_log import OperationResult, OperationStatus
 
-POLL_INTERVAL = 0.05  # seconds between two polls about an operation
+POLL_INTERVAL = 0.05  # seconds between two polls for the status of an operation
 _ENDED = (OperationStatus.SERVED, OperationStatus.FAILED)
 
 
 class PollReplies(dict[str, PeerOperationStatus]):
-    """What members replied to a poll, by member."""
+    """The replies to a poll, by member name."""
 
     def ended_result(self) -> OperationResult | None:
-        """The best result among the replies; None where no member knows how the operation ended."""
+        """Return the most conclusive result of the replies, or None if no member has one."""
         return best_result(
             OperationResult(OperationStatus(reply.status), reply.answer) for reply in self.values()
         )
 
     def members_reporting(self, status: OperationStatus) -> list[str]:
-        """Members that replied with this status."""
+        """Return the members that replied with this status."""
         return [member for member, reply in self.items() if reply.status == status.value]
 
     def silent_among(self, members: Iterable[str]) -> list[str]:
-        """Members that did not reply, or whose record is incomplete."""
+        """Return the members that did not reply or whose record is incomplete."""
         return [
             member
             for member in members
@@ -37,12 +37,12 @@
         ]
 
     def all_absent(self, members: Collection[str]) -> bool:
-        """Whether all these members replied that their records lack the operation."""
+        """Return whether all these members replied that their records lack the operation."""
         return len(self) == len(members) == len(self.members_reporting(OperationStatus.ABSENT))
 
 
 def best_result(results: Iterable[OperationResult | None]) -> OperationResult | None:
-    """The result that says most of how an operation ended: served before failed, stored answers first."""
+    """Return the most conclusive result: served before failed, then with a stored answer before without."""
     ended = [result for result in results if result and result.status in _ENDED]
     return max(
         ended,
@@ -52,17 +52,17 @@
 
 
 def incarnations_agreed(membership: MemberList, replies: PollReplies, members: Iterable[str]) -> bool:
-    """Whether these members, by their replies, and this one have recorded each other's incarnations."""
+    """Return whether this member and these members have all recorded each other's incarnations."""
     tokens = {member: replies[member].incarnation_token for member in members}
     recorded = {member: replies[member].recorded_tokens for member in members}
     return membership.incarnations_agreed(tokens, recorded)
 
 
 class PeerPoll:
-    """Sends polls over the members' connections."""
+    """Polls members over their connections."""
 
     def __init__(self, membership: MemberList, connections: dict[str, MemberConnection]) -> None:
-        """`connections`: by member; they may be added later."""
+        """Use `connections`, by member name; entries may be added later."""
         self._membership = membership
         self._connections = connections
 
@@ -72,7 +72,7 @@
         return list(self._connections)
 
     async def poll(self, name: str, members: list[str], timeout: float) -> PollReplies:
-        """Poll these members for at most `timeout` seconds; stop once all replied, or one has the answer."""
+        """Poll members for at most `timeout` seconds, until all have replied or one reports SERVED."""
         poll_round = _PollRound(self._membership, members)
         if not members:
             return poll_round.replies
@@ -87,24 +87,24 @@
 
 
 class _PollRound:
-    """The state of one poll."""
+    """The state of one poll: its outstanding members and its replies."""
 
     def __init__(self, membership: MemberList, members: list[str]) -> None:
         self._membership = membership
         self._awaited = set(members)
-        self.unreached = list(members)  # to be polled, once more where a connection was lost
+        self.unreached = list(members)  # still to be polled, or to be polled again after a lost connection
         self.replies = PollReplies()
         self.finished = anyio.Event()
 
     def take_unreached(self) -> list[str]:
-        """The members to poll now."""
+        """Return the members to poll now and clear the list."""
         unreached, self.unreached = self.unreached, []
         return unreached
 
     def receive(self, member: str, reply: PeerOperationStatus | None) -> None:
-        """A member has replied; None: its connection is lost."""
+        """Record a member's reply; None means that its connection was lost."""
         if reply is None and self._membership.peers[member].state is not MemberState.DEAD:
-            self.unreached.append(member)  # it may be starting
+            self.unreached.append(member)  # the member may be starting
             return
         self._awaited.discard(member)
         if reply is not None:
--- a/frostfall/net/operations/settlement.py
+++ b/frostfall/net/operations/settlement.py
@@ -1,4 +1,4 @@
-"""How an operation ended that this member did not finish: by other members' replies and by replicas."""
+"""Determines how operations ended that this member did not finish, from other members and replicas."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class OperationSettlement:
-    """Finds out how operations ended, from whoever may know."""
+    """Determines the results of operations from members' replies and replicas."""
 
     def __init__(self, context: OperationContext, peer_poll: PeerPoll) -> None:
-        """Members are polled by `peer_poll`; replicas are read by the context's replication."""
+        """Use `peer_poll` to poll members and the context's replication to read replicas."""
         self._context = context
         self._peer_poll = peer_poll
 
     async def find_result(self, name: str, deadline: int) -> OperationResult | None:
-        """How an operation ended, by other members and by the replicas of those that cannot tell.
+        """Return an operation's result from other members, or from replicas of those that cannot report it.
 
-        ABSENT where the records of all members are complete and lack it, None where nobody knows.
-        `deadline` is in microseconds, as everywhere here.
+        Returns ABSENT if the records of all members are complete and lack the operation, and None if the
+        result is unknown. `deadline` is in microseconds, as in all methods of this class.
         """
         context, members = self._context, self._peer_poll.members
         replies = await self._peer_poll.poll(name, members, context.poll_timeout(deadline))
@@ -53,9 +53,9 @@
     async def read_replicas(
         self, name: str, owners: list[str], deadline: int, *, fence: bool = False
     ) -> list[OperationResult | None]:
-        """What the replicas of these owners' records say of an operation; None for each that cannot tell.
+        """Read an operation from the replicas of each owner's record; None where they give no result.
 
-        `fence`: where they lack it, its owner can never begin it any more.
+        With `fence`, an owner whose replicas lack the operation can no longer start it.
         """
         results: list[OperationResult | None] = [None] * len(owners)
         replication = self._context.replication
@@ -78,14 +78,14 @@
     async def settle(
         self, operation: Operation, replies: PollReplies, members: list[str], deadline: int
     ) -> OperationResult | None:
-        """How an operation ended, by the replies and by the replicas of members that could not tell.
+        """Return an operation's result from the replies, or from replicas of members that cannot report it.
 
-        Sets `confirmed_absent` where no member can have run it.
+        Sets `confirmed_absent` if no member can have run the operation.
         """
         result = replies.ended_result()
         owners = replies.silent_among(members) + self._context.removed_members
         if result is not None:
-            # An operation that failed at one member may have been served by another, now gone.
+            # An operation that failed at one member may have been served by a member that is now removed.
             if result.status is OperationStatus.SERVED:
                 return result
             return best_result([result, *await self.read_replicas(operation.name, owners, deadline)])
@@ -94,12 +94,12 @@
         results = await self.read_replicas(operation.name, owners, deadline, fence=True)
         if any(each is None or each.status is not OperationStatus.ABSENT for each in results):
             return best_result(results)
-        own_record_counts = not self._context.operation_log.incomplete_reason
-        operation.confirmed_absent = own_record_counts or operation.confirmed_by_replicas
+        own_record_confirms = not self._context.operation_log.incomplete_reason
+        operation.confirmed_absent = own_record_confirms or operation.confirmed_by_replicas
         return None
 
     def _may_fence(self, replies: PollReplies, members: list[str]) -> bool:
-        """Whether the operation can be fenced at the replicas of the members that could not tell."""
+        """Return whether the operation can be fenced at the replicas of members that cannot report it."""
         membership = self._context.membership
         absent = replies.members_reporting(OperationStatus.ABSENT)
         if self._context.replication is None or not membership.no_stale_peers:
@@ -109,9 +109,10 @@
         return incarnations_agreed(membership, replies, absent)
 
     async def check_own_replicas(self, operation: Operation, deadline: int) -> bool:
-        """With an incomplete record: whether this member's own replicas lack an operation too.
+        """Return whether the replicas of this member's own incomplete record also lack an operation.
 
-        They are read before the present intent is replicated; nobody else writes under this member's name.
+        The replicas are read before the current intent is replicated; no other member writes them under this
+        member's name.
         """
         (result,) = await self.read_replicas(operation.name, [self._context.name], deadline)
         operation.confirmed_by_replicas = result is not None and result.status is OperationStatus.ABSENT
--- a/frostfall/net/pending_answers.py
+++ b/frostfall/net/pending_answers.py
@@ -1,7 +1,7 @@
-"""The one owner of queries that were accepted and not answered yet.
+"""Registry of the queries that are accepted and not yet answered.
 
-A connection closes, and the agent ends, only once nothing of theirs is pending here. Where something fails or
-time runs out, what is pending gets its final answer first.
+A connection closes only once its query is answered, and the agent exits only once all are. After a fault or a
+timeout, pending queries get their final answer first.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True)
 class PendingAnswer:
-    """A query that waits for its final answer."""
+    """An accepted query whose final answer is pending."""
 
     accepted_at: float  # monotonic seconds
-    request: str | None = None  # its id, once it has been parsed
+    request: str | None = None  # request id, set once the query is parsed
 
 
 class PendingAnswers:
-    """Knows which connections wait for an answer, and whether further queries are admitted."""
+    """Records which connections await an answer and whether further queries are admitted."""
 
     def __init__(self, invariants: InvariantMonitor | None = None, trace: RequestTrace | None = None) -> None:
         """Admit queries until `end_admission`."""
@@ -36,31 +36,31 @@
         self._pending: dict[ClientConnection, PendingAnswer] = {}
 
     def __len__(self) -> int:
-        """How many queries wait for their answers."""
+        """Return the number of queries that await an answer."""
         return len(self._pending)
 
     @property
     def clients(self) -> list[ClientConnection]:
-        """The connections that wait for an answer."""
+        """The connections that await an answer."""
         return list(self._pending)
 
     def end_admission(self) -> None:
-        """From now on each query is rejected as soon as it is read."""
+        """Stop admission: every later query is rejected as soon as it is read."""
         self.admitting = False
 
     def accept(self, client: ClientConnection) -> None:
-        """A query was read whole: from now on its connection is owed an answer."""
+        """Register a query that was read completely; its connection now awaits an answer."""
         if earlier := self._pending.get(client):
             self.invariants.check(Invariant.ACCEPT_ONE_AT_A_TIME, False, earlier.request)
         self._pending[client] = PendingAnswer(monotonic())
 
     def identify(self, client: ClientConnection, request: str) -> None:
-        """The pending query of this connection carries this request id."""
+        """Set the request id of the connection's pending query."""
         if pending := self._pending.get(client):
             pending.request = request
 
     def answered(self, client: ClientConnection) -> None:
-        """The final answer was handed to the connection."""
+        """Remove the connection's pending query: the connection has its final answer."""
         pending = self._pending.pop(client, None)
         if pending and self.trace.enabled:
             elapsed_ms = round((monotonic() - pending.accepted_at) * 1000, 1)
@@ -68,19 +68,19 @@
                 Step.ANSWERED, request=pending.request, connection=client.number, elapsed_ms=elapsed_ms
             )
 
-    def client_left(self, client: ClientConnection) -> None:
-        """The client is gone by itself, or takes no answers: nothing is owed to it any more."""
+    def discard(self, client: ClientConnection) -> None:
+        """Drop the pending query of a client that has disconnected or does not read its answers."""
         self._pending.pop(client, None)
 
     def may_close(self, client: ClientConnection) -> bool:
-        """The guard of each close by the agent: whether nothing is owed on the connection."""
+        """Check, before the agent closes a connection, that no answer is pending on it."""
         pending = self._pending.get(client)
         return self.invariants.check(
             Invariant.CLOSE_WHEN_ANSWERED, pending is None, pending.request if pending else None
         )
 
     def may_exit(self) -> bool:
-        """The guard of the agent's end: whether nothing is owed at all."""
+        """Check, before the agent exits, that no answer is pending on any connection."""
         first = next(iter(self._pending.values()), None)
         detail = f"{len(self._pending)} pending"
         return self.invariants.check(
--- a/frostfall/net/reasons.py
+++ b/frostfall/net/reasons.py
@@ -1,4 +1,4 @@
-"""The closed sets of reasons for which connections close, attempts are cancelled and requests rejected."""
+"""The reasons for closing connections, cancelling attempts and rejecting queries."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CloseReason(Enum):
-    """Why a client's connection ended."""
+    """The reason why a client connection was closed."""
 
     CLIENT_LEFT = "the client closed it"
     CLIENT_TERMINATED = "the client sent Terminate"
@@ -24,13 +24,13 @@
 
 
 class CancelReason(Enum):
-    """Why an attempt was cancelled."""
+    """The reason why an attempt was cancelled."""
 
-    DECIDED = "another attempt was answered, or its time is over"
+    DECIDED = "another attempt was answered, or the attempt timed out"
 
 
 class RejectReason(Enum):
-    """Why a query was rejected before any policy saw it."""
+    """The reason why a query was rejected without passing it to the policy engine."""
 
     DRAINING = "admission has ended"
     OVERFLOW = "no room for its connection"
--- a/frostfall/net/request_trace.py
+++ b/frostfall/net/request_trace.py
@@ -1,4 +1,4 @@
-"""The trace of requests: one log line for each step of a request, from its connection to its end."""
+"""Request tracing: one log line for each step of a request, from connection to close."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Step(Enum):
-    """A step in the life of a request or of a client's connection."""
+    """A step in the processing of a request or client connection."""
 
     CONNECTED = "connected"
     ACCEPTED = "accepted"
@@ -26,15 +26,15 @@
 
 
 class RequestTrace:
-    """Writes steps to the log while it is enabled.
+    """Logs the steps of requests while tracing is enabled.
 
-    Callers ask for `enabled` first, so that the arguments of a step cost nothing while it is off.
+    Callers check `enabled` first, so that no arguments are computed while tracing is disabled.
     """
 
     def __init__(self, enabled: bool = False) -> None:
-        """Trace requests from the start, or not."""
+        """Create a trace that is initially enabled or disabled."""
         self.enabled = enabled
 
     def record(self, step: Step, **fields: Any) -> None:
-        """Write one step; `request` and `connection` name what it belongs to."""
+        """Log one step; the fields `request` and `connection` identify its request and connection."""
         _log.info(step.value, **fields)
--- a/frostfall/net/requests.py
+++ b/frostfall/net/requests.py
@@ -1,4 +1,4 @@
-"""Requests in flight: from a client's query to its answer and to the end of all its attempts."""
+"""Tracks requests in flight, from a client's query to the answer and the end of all attempts."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class _Request:
-    """A request that was accepted, until it is answered and all its attempts have ended."""
+    """An accepted request that is unanswered or has attempts in flight."""
 
     statement: statement.Statement
     client: ClientConnection
@@ -50,18 +50,18 @@
 
 @dataclass(slots=True)
 class _Dispatch:
-    """One attempt on its way to a server."""
+    """One attempt and the server address it is sent to."""
 
     request: _Request
     action: api.SendAttempt
-    number: int  # of the attempt within its request
+    number: int  # index of the attempt within its request
     attempt: UpstreamAttempt
     target: Address
     started_at: int  # microseconds of Unix time
     deadline: int  # microseconds of Unix time
 
     def is_over(self) -> bool:
-        """Whether nobody waits for this attempt any more."""
+        """Return whether the result of this attempt is no longer needed."""
         return self.request.done or self.attempt.cancelled
 
 
@@ -80,15 +80,16 @@
         pool: UpstreamPool,
         pending_answers: PendingAnswers,
     ) -> None:
-        """`post` hands events to the engine; `may_write` is its last word before an attempt goes out.
+        """Create an empty table.
 
-        `may_act_on` says whether the lease of the endpoint list covers a server.
+        `post` passes an event to the policy engine. `may_write` is the engine's final check before an attempt
+        is written. `may_act_on` returns whether the lease of the endpoint list covers a server.
         """
         self._clock = clock
         self._classes = {request_class.name: request_class for request_class in classes}
         self._invariants = pending_answers.invariants
         self._trace = pending_answers.trace
-        self._latest_deadline: int | None = None  # microseconds of the clock, once the agent is draining
+        self._latest_deadline: int | None = None  # microseconds of the clock; set while draining
         self._post = post
         self._may_write = may_write
         self._may_act_on = may_act_on
@@ -99,23 +100,24 @@
         self._operations: OperationCoordinator | None = None
 
     def __len__(self) -> int:
-        """How many requests are in flight."""
+        """Return the number of requests in flight."""
         return len(self._requests)
 
     @property
     def attempts_in_flight(self) -> int:
-        """How many attempts of all requests have not ended."""
+        """The number of attempts, over all requests, that have not ended."""
         return sum(request.in_flight for request in self._requests.values())
 
     def start(self, task_group: TaskGroup, operations: OperationCoordinator | None) -> None:
-        """Run attempts in this task group; with `operations`, non-idempotent ones are recorded first."""
+        """Set the task group that runs attempts.
+
+        With `operations`, non-idempotent attempts are recorded before they are written.
+        """
         self._task_group = task_group
         self._operations = operations
 
-    # ---- clients -----------------------------------------------------------------------------------
-
     def handle_query(self, client: ClientConnection, text: bytes) -> str | None:
-        """Accept a client's query, or say why it is malformed."""
+        """Accept a client's query; return the reason if it is malformed, else None."""
         now = self._clock.now()
         parsed = statement.parse(text)
         if isinstance(parsed, str):
@@ -154,74 +156,68 @@
         return None
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Drop the request whose answer this client waited for, if any."""
+        """Cancel the pending request of a client that has disconnected, if there is one."""
         name, client.request = client.request, None
         if name is not None and (request := self._requests.get(name)):
             request.done = True
             if self._trace.enabled:
                 self._trace.record(Step.CLIENT_LEFT, request=name)
             self._post(api.ClientDisconnected(name))
-            self._forget(name)
-
-    # ---- shutdown ----------------------------------------------------------------------------------
+            self._remove_if_finished(name)
 
     def limit_deadlines(self, latest: int) -> None:
-        """Let no query that is accepted from now on wait beyond this moment, in microseconds of the clock."""
+        """Cap the deadline of every query accepted later at `latest`, in microseconds of the clock."""
         self._latest_deadline = latest
 
-    def give_up_all(self) -> None:
-        """Let the engine give every open request its final answer now."""
+    def answer_all(self) -> None:
+        """Have the engine send the final answer of every open request now."""
         for name in [name for name, request in self._requests.items() if not request.done]:
             self._post(api.AnswerDue(name))
 
-    # ---- answers -----------------------------------------------------------------------------------
-
     def conclude(self, name: str, answer: bytes, end: FinalOutcome) -> None:
-        """Give a request its final answer, whatever the engine has in flight for it."""
-        if (known := self._requests.get(name)) and not known.done:
+        """Send the final answer of a request and cancel the attempts that the engine has in flight for it."""
+        if (request := self._requests.get(name)) and not request.done:
             self.finish(name, answer, end)
             self._post(api.ClientDisconnected(name))
 
     def fail_after_fault(self, event: api.Event) -> None:
-        """Fail the request that an event belongs to, if any, as the engine raised on that event."""
+        """Fail the request of an event on which the engine raised an exception, if the event has one."""
         name = getattr(event, "request", None)
         if isinstance(name, str) and name in self._requests:
             self.finish(name, failure_answer(), FinalOutcome.FAILED)
 
     def finish(self, name: str, answer: bytes, end: FinalOutcome) -> None:
-        """Answer a request; no effect on one that is answered already or unknown."""
+        """Answer a request; has no effect if the request is already answered or unknown."""
         request = self._requests.get(name)
         if request is None or request.done:
             return
         request.done = True
-        if over := not request.in_flight:
+        if all_attempts_ended := not request.in_flight:
             del self._requests[name]
         if self._operations:
-            self._operations.finish_request(name, answer, end, request.client, over)
+            self._operations.finish_request(name, answer, end, request.client, all_attempts_ended)
         else:
             request.client.answer(answer)
 
-    def _forget(self, name: str) -> None:
+    def _remove_if_finished(self, name: str) -> None:
         if (request := self._requests.get(name)) and request.done and not request.in_flight:
             del self._requests[name]
             if self._operations:
                 self._operations.request_closed(name)
 
-    # ---- attempts ----------------------------------------------------------------------------------
-
     def cancel_attempt(self, name: str, number: int) -> None:
-        """Cancel an attempt of a request; its end is still reported."""
-        if (known := self._requests.get(name)) and number < len(known.attempts):
+        """Cancel an attempt of a request; the end of the attempt is still reported."""
+        if (request := self._requests.get(name)) and number < len(request.attempts):
             if self._trace.enabled:
                 self._trace_cancellation(name, CancelReason.DECIDED)
-            known.attempts[number].cancel()
+            request.attempts[number].cancel()
 
     def send_attempt(self, action: api.SendAttempt) -> None:
-        """Start an attempt; its end is posted exactly once."""
+        """Start an attempt; exactly one `AttemptEnded` event is posted for it."""
         request = self._requests.get(action.request)
         started_at = self._clock.now()
         if request is None or request.done or self._task_group is None:
-            _log.error("attempt for a request that has ended", request=action.request)
+            _log.error("attempt refused: request has ended", request=action.request)
             return
         number = len(request.attempts)
         if self._trace.enabled:
@@ -229,7 +225,8 @@
                 Step.ATTEMPT_STARTED, request=action.request, attempt=number, server=action.server
             )
 
-        def on_degraded() -> None:  # posted before the attempt's end, so that no further one goes there
+        # Posted before the end of the attempt, so that the engine does not retry on the same server.
+        def on_degraded() -> None:
             self._post(api.ServerDegraded(action.server))
 
         attempt = UpstreamAttempt(request.statement.class_name, on_degraded)
@@ -242,7 +239,7 @@
         request.in_flight += 1
         deadline = min(started_at + action.timeout, request.deadline) if action.timeout else request.deadline
         dispatch = _Dispatch(request, action, number, attempt, target, started_at, deadline)
-        self._task_group.start_soon(self._run_recorded if self._operations else self._run, dispatch)
+        self._task_group.start_soon(self._run_when_authorized if self._operations else self._run, dispatch)
 
     async def _run(self, dispatch: _Dispatch) -> None:
         await self._pool.run_attempt(
@@ -253,16 +250,16 @@
             lambda ending: self._attempt_ended(dispatch, ending),
         )
 
-    async def _run_recorded(self, dispatch: _Dispatch) -> None:
-        """Run an attempt once it may be written: a non-idempotent one waits for its record."""
+    async def _run_when_authorized(self, dispatch: _Dispatch) -> None:
+        """Run an attempt once it is authorized: a non-idempotent one waits until its record is durable."""
         authorized = False
         try:
             if self._operations:
                 authorized = await self._operations.authorize_dispatch(
                     dispatch.action.request, dispatch.is_over, dispatch.deadline
                 )
-        except Exception:  # the attempt must still end, so that its request is answered
-            _log.exception("record failed")
+        except Exception:  # the attempt must still end, or its request would stay unanswered
+            _log.exception("dispatch authorization failed")
         if authorized:
             await self._run(dispatch)
         else:
@@ -272,10 +269,10 @@
             )
 
     def _statement_to_write(self, dispatch: _Dispatch) -> bytes | None:
-        """The query text just before its first byte is written; None where it must not go out."""
+        """Return the query text immediately before its first byte is written; None if it must not be sent."""
         request, action = dispatch.request, dispatch.action
         now = self._clock.now()
-        # The server may have moved since: whoever listens at its old address now is not this server.
+        # The address may have changed since the attempt began; another process may listen at the old one.
         if (
             request.done
             or self._endpoints.address_of(action.server) != dispatch.target
@@ -290,12 +287,12 @@
         return request.statement.with_wait((dispatch.deadline - now) // 1000)
 
     def _invariants_hold(self, dispatch: _Dispatch, now: int) -> bool:
-        """The guard of each write: what must hold whatever the policies have decided."""
+        """Check, before each write, the invariants that are independent of the policies' decisions."""
         request, name = dispatch.request, dispatch.action.request
-        waits = request.client.request == name or self._operations is not None
+        is_pending = request.client.request == name or self._operations is not None
         is_leased = self._may_act_on(now, dispatch.action.server)
-        if waits and is_leased and now < request.deadline and len(request.attempts) == 1:
-            return True  # nearly always
+        if is_pending and is_leased and now < request.deadline and len(request.attempts) == 1:
+            return True  # the common case: the first attempt of a request
         earlier = [
             WrittenAttempt(attempt.written_at, attempt.outcome)
             for attempt in request.attempts
@@ -304,7 +301,7 @@
         is_safe = may_repeat(now, self._classes[request.statement.class_name], earlier)
         check = self._invariants.check
         return (
-            check(Invariant.WRITE_FOR_OPEN_REQUEST, waits, name)
+            check(Invariant.WRITE_FOR_OPEN_REQUEST, is_pending, name)
             and check(Invariant.WRITE_IN_TIME, now < request.deadline, name)
             and check(Invariant.WRITE_ON_LEASE, is_leased, name, f"server {dispatch.action.server}")
             and check(Invariant.REPEAT_IF_SAFE, is_safe, name, f"{len(earlier)} earlier attempts")
@@ -346,12 +343,12 @@
                 name, dispatch.number, action.server, outcome, elapsed, request.done, _load_report(ending)
             )
         )
-        self._forget(name)
+        self._remove_if_finished(name)
 
 
 def _load_report(ending: AttemptResult) -> api.LoadReport | None:
     try:
         return endpoint_adapter.parse_load_report(ending.load_report)
-    except Exception:  # whatever a server reports, the attempt's end must be posted
+    except Exception:  # the end of the attempt must be posted even if the server's report is malformed
         _log.exception("unreadable load report")
         return None
--- a/frostfall/net/supervision.py
+++ b/frostfall/net/supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the agent's background loops running: an exception ends one turn of a loop, never the agent."""
+"""Restarts background loops of the agent after an exception, so that no exception ends the agent."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from frostfall import log
 
-RESTART_PAUSE_SECONDS = 0.1  # before a loop that has failed begins anew
+RESTART_DELAY_SECONDS = 0.1
 
 _log = log.get_logger("agent")
 
 
-async def keep_running(name: str, loop: Callable[[], Awaitable[None]]) -> None:
-    """Run a loop until it returns or is cancelled; after an exception it begins anew."""
+async def run_with_restarts(name: str, loop: Callable[[], Awaitable[None]]) -> None:
+    """Run a loop until it returns or is cancelled; restart it after an exception."""
     while True:
         try:
             await loop()
             return
-        except Exception:  # a task boundary: the other loops, and the requests in flight, go on
+        except Exception:  # task boundary: other loops and requests in flight must continue
             _log.exception("background loop failed", loop=name)
-        await anyio.sleep(RESTART_PAUSE_SECONDS)
+        await anyio.sleep(RESTART_DELAY_SECONDS)
