--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Drives anti-entropy in a running agent: compares records with peers and restores what is missing here."""
+"""Anti-entropy driver of an agent: compares records with peers and restores missing local records."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 from frostfall.storage.segment_codec import RecordState
 from frostfall.storage.write_ahead_log import operation_key
 
-POLL_INTERVAL = 0.25  # seconds between two looks for due tasks
-RESPONSE_TIMEOUT = 10.0  # seconds for a peer's reply, which may have to read its whole log first
-SELECTOR_BYTES = 8  # bytes that a key or prefix in a request counts for in the statistics
-ITEM_WIRE_BYTES = 16  # bytes that an item counts for in the statistics, besides its name and answer
-ITEM_DISK_BYTES = 32  # bytes that an item counts for in the rate limit, besides its name and answer
+POLL_INTERVAL = 0.25  # seconds between checks for due tasks
+RESPONSE_TIMEOUT = 10.0  # seconds for a reply; the peer may have to read its whole log first
+SELECTOR_BYTES = 8  # bytes per key or prefix of a request in the traffic statistics
+ITEM_WIRE_BYTES = 16  # bytes per item in the traffic statistics, in addition to its name and answer
+ITEM_DISK_BYTES = 32  # bytes per item in the rate limit, in addition to its name and answer
 
 _log = log.get_logger("repair")
 
 
 class SyncError(Exception):
-    """A task did not come through and is due again later; the message says why."""
+    """Raised when a synchronization task fails; the scheduler retries the task later."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Selection:
-    """What one request asks a peer for."""
+    """The tree, level and nodes or keys that one request selects."""
 
     tree: TreeKey
     level: int  # DIGEST_SUMS, DIGEST_ENTRIES or DIGEST_ITEMS
     depth: int
-    selectors: list[int]  # prefixes of nodes, or operation keys
+    selectors: list[int]  # node prefixes, or operation keys for DIGEST_ITEMS
 
     @classmethod
     def of_query(cls, tree: TreeKey, query: DigestQuery) -> _Selection:
@@ -64,55 +64,55 @@
 
 
 class AntiEntropyDriver:
-    """One agent's rounds, and its answers to those of others."""
+    """Runs the anti-entropy rounds of one agent and answers the requests of its peers."""
 
     def __init__(
         self,
         scheduler: AntiEntropyScheduler,
         disk: LogWriter,
-        ledger: OperationLog,
+        operation_log: OperationLog,
         store: ReplicaStore,
         members: MemberList,
-        lines: dict[str, MemberConnection],
+        connections: dict[str, MemberConnection],
         monotonic: Callable[[], float],
         is_authoritative: Callable[[str, str, str], bool],
         on_restored: Callable[[], None],
         on_corruption: Callable[[str], None],
     ) -> None:
-        """`is_authoritative`: see `DigestServer`. `lines` has the connections to the other members.
+        """Create a driver; `connections` has the connections to the other members.
 
-        `on_restored` is called when all incomplete records are complete again, `on_corruption` when a segment
-        of the log cannot be read any more.
+        For `is_authoritative` see `DigestServer`. `on_restored` is called when all incomplete records are
+        complete again, and `on_corruption` when a segment of the log is no longer readable.
         """
         self.scheduler = scheduler
         self._disk = disk
-        self._operation_log = ledger
+        self._operation_log = operation_log
         self._store = store
         self._members = members
-        self._connections = lines
+        self._connections = connections
         self._monotonic = monotonic
         self._on_restored = on_restored
         self._survey = LogSurvey(disk, on_corruption)
         self._server = DigestServer(self._survey, members, monotonic, is_authoritative)
         self._session_numbers = count(1)
-        self._scheduled_tokens: dict[str, str] = {}  # by peer: the incarnation it was last scheduled for
+        self._scheduled_tokens: dict[
+            str, str
+        ] = {}  # by peer: token of the incarnation that was last scheduled
         self._next_round = 0.0  # seconds of the monotonic clock
         self.restored_operations = 0
         self.received_bytes = 0
 
     async def handle_compare(self, message: DigestRequest) -> MemberMessage:
-        """Answer a peer's request."""
+        """Answer a digest request of a peer."""
         return await self._server.answer(message)
 
-    # ---- rounds ----------------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Compare at the start, when a peer comes back, and once every `round` seconds; for good."""
+        """Compare at startup, after a peer restarts, and every `round` seconds, until cancelled."""
         while True:
             try:
                 await self._run_due()
             except Exception:
-                # A record that cannot be read must end neither anti-entropy nor the agent.
+                # An unreadable record must stop neither anti-entropy nor the agent.
                 _log.exception("anti-entropy round failed")
                 await anyio.sleep(MAX_RETRY_DELAY)
             await anyio.sleep(POLL_INTERVAL)
@@ -123,7 +123,7 @@
             self._next_round = now + self.scheduler.options.round
             self.scheduler.schedule(now)
             if not self.scheduler.peers_of(self.scheduler.own_name):
-                await self._survey.digest_trees()  # without peers, checksums are verified all the same
+                await self._survey.digest_trees()  # verifies checksums, also without peers
         available = self._update_members(now)
         if tasks := self.scheduler.due_tasks(now, available):
             await self._run_tasks(tasks)
@@ -133,7 +133,10 @@
             await self._survey.rewrite_corrupted()
 
     def _update_members(self, now: float) -> set[str]:
-        """Tell the scheduler who is available, and schedule peers that are in a new incarnation."""
+        """Update the scheduler's unavailable peers and schedule peers with a new incarnation.
+
+        Returns the names of the available peers.
+        """
         peers = self._members.peers
         available = {name for name in self._connections if peers[name].state is MemberState.ALIVE}
         self.scheduler.update_unavailable(now, set(peers) - available)
@@ -167,10 +170,11 @@
                 seconds=round(self._monotonic() - started_at, 3),
             )
 
-    # ---- one task --------------------------------------------------------------------------------------
-
     async def _sync(self, task: SyncTask, trees: DigestTrees, session: int) -> bool:
-        """Restore what a peer has of an owner's record and this member lacks; whether the peer knew all."""
+        """Restore the records of an owner that a peer has and this member lacks.
+
+        Returns whether all replies of the peer were authoritative.
+        """
         authoritative = True
         for fences in (False, True):
             if fences and task.owner in (task.peer, self.scheduler.own_name):
@@ -198,15 +202,15 @@
             authoritative &= reply.authoritative
             handled = int.from_bytes(reply.data, "little")
             if not 0 < handled <= MAX_BATCH_ITEMS:
-                raise SyncError("no items")
+                raise SyncError(f"invalid number of handled keys in the peer's reply: {handled}")
             keys = keys[handled:]
             await self._restore(task.owner, [ReplicaItem(*item) for item in reply.items], restored)
-        if restored:  # so that the next peer's digests are not requested all over again
+        if restored:  # restored items are not requested again from the next peer
             trees[key] = await self._disk.run_blocking(own_tree.with_added, restored)
         return authoritative
 
     async def _request(self, task: SyncTask, selection: _Selection, session: int) -> DigestReply:
-        """Send a request to a task's peer; SyncError without a reply of its present incarnation."""
+        """Send a request to a task's peer; raise SyncError unless its current incarnation replies in time."""
 
         def request(request_id: int) -> DigestRequest:
             return DigestRequest(
@@ -227,18 +231,18 @@
         with anyio.move_on_after(RESPONSE_TIMEOUT):
             reply = await pending.wait()
         if not isinstance(reply, DigestReply):
-            raise SyncError("no answer")
+            raise SyncError("no reply from the peer")
         if reply.incarnation_token != self._members.peers[task.peer].recorded_incarnation.token:
-            raise SyncError("another incarnation answered")
+            raise SyncError("reply from an incarnation that is not recorded here")
         self.received_bytes += len(reply.data) + SELECTOR_BYTES * len(selection.selectors)
         for _, name, answer, _ in reply.items:
             self.received_bytes += len(name) + len(answer or b"") + ITEM_WIRE_BYTES
         return reply
 
     async def _restore(self, owner: str, items: list[ReplicaItem], restored: dict[int, RecordState]) -> None:
-        """Write items to this member's log and wait until they are on disk, at the rate that is set.
+        """Write items to this member's log and wait until they are durable, within the configured rate.
 
-        `restored` receives their states by key.
+        `restored` receives the states of the items by operation key.
         """
         last_ticket = size = 0
         may_have_run: list[str] = []
@@ -250,7 +254,7 @@
             digest_state = DIGEST_STATES[state]
             ticket = self._restore_item(owner, item)
             if ticket is None:
-                raise SyncError(f"{item.operation} is in progress here")
+                raise SyncError(f"operation {item.operation} is in progress on this member")
             if owner == self._disk.wal.owner and ticket and digest_state is DigestState.MAY_HAVE_RUN:
                 may_have_run.append(item.operation)
             restored[operation_key(item.operation)] = state
@@ -259,13 +263,16 @@
             size += len(item.operation) + len(item.answer or b"") + ITEM_DISK_BYTES
         self._disk.wake()
         if not await self._disk.wait_durable(last_ticket):
-            raise SyncError("the disk has failed here")
+            raise SyncError("writing restored records to disk failed")
         for operation in may_have_run:
             self._operation_log.on_restore_durable(operation)
         await anyio.sleep(size / self.scheduler.options.rate)
 
     def _restore_item(self, owner: str, item: ReplicaItem) -> int | None:
-        """Write an item where it is missing; the ticket to wait for, 0 for no change, None: not now."""
+        """Write an item if it is missing.
+
+        Returns the ticket to wait for, 0 for no change, or None while the operation is in progress here.
+        """
         state = RecordState(item.state)
         if owner == self._disk.wal.owner:
             return self._operation_log.restore_from_replica(state, item.operation, item.answer, item.age)
--- a/frostfall/net/consensus.py
+++ b/frostfall/net/consensus.py
@@ -1,4 +1,4 @@
-"""Drives Raft in a running agent: messages over the member transport, state in the agent's own log."""
+"""Raft driver of an agent: messages use the member transport, and state is stored in the agent's log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from frostfall.protocol.member_messages import ConsensusMessage
 from frostfall.recovery.metadata import MetadataRecord, RaftEntry, RaftSnapshot, RaftVote
 
-TICK_INTERVAL = 0.05  # seconds: an election begins after half a second to a second without a leader
+TICK_INTERVAL = 0.05  # seconds; elections start after 0.5 to 1 second without a leader
 
 _log = log.get_logger("agreement")
 _DECODER: msgspec.msgpack.Decoder[RaftMessage] = msgspec.msgpack.Decoder(RaftMessage)
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class _Proposal:
-    """A command of this member's that waits to be committed."""
+    """A command proposed by this member that is not committed yet."""
 
     command: CompareAndSet
     succeeded: bool = False
@@ -39,40 +39,39 @@
 
 
 class ConsensusDriver:
-    """One member of the Raft group, with its copy of the register."""
+    """One member of the Raft group, with its replica of the register."""
 
     def __init__(
         self,
         name: str,
         voters: tuple[str, ...],
         disk: LogWriter,
-        write_fact: Callable[[MetadataRecord], int],
-        lines: dict[str, MemberConnection],
+        write_record: Callable[[MetadataRecord], int],
+        connections: dict[str, MemberConnection],
         seed: int,
     ) -> None:
-        """Take the voters of a first start; call `restore` for what the log has before `run`.
+        """Create a driver with the initial voters; `restore` applies the records of the log before `run`.
 
-        `write_fact` appends a record to the log and returns its ticket; `lines` has the other members.
+        `write_record` appends a record to the log and returns its ticket. `connections` has the connections
+        to the other members, by name.
         """
         self._name = name
         self._disk = disk
-        self._write_fact = write_fact
-        self._connections = lines
+        self._write_record = write_record
+        self._connections = connections
         self._seed = seed
         self._hard_state = HardState()
         self._snapshot = Snapshot(voters=voters)
-        self._entries: dict[int, Entry] = {}  # by index: on disk, or on the way there
+        self._entries: dict[int, Entry] = {}  # by index: entries on disk or queued for writing
         self.raft: Raft | None = None  # None until `run` begins
         self.register = Register()
         self._proposals: dict[int, _Proposal] = {}  # by index
         self._changed = anyio.Event()
         self._logged_leader = ""
 
-    # ---- state in the log ----------------------------------------------------------------------------
-
-    def restore(self, fact: RaftVote | RaftEntry | RaftSnapshot) -> None:
-        """Take in a record of the log, in the order in which they were written."""
-        match fact:
+    def restore(self, record: RaftVote | RaftEntry | RaftSnapshot) -> None:
+        """Apply a record of the log; records must be applied in the order in which they were written."""
+        match record:
             case RaftVote(term, voted_for):
                 self._hard_state = HardState(term, voted_for)
             case RaftEntry(index, entry):
@@ -85,25 +84,23 @@
                 }
 
     def stored_state(self) -> Iterable[MetadataRecord]:
-        """Yield the records that a new segment of the log begins with."""
+        """Yield the records with which a new segment of the log begins."""
         yield RaftSnapshot(msgspec.to_builtins(self._snapshot))
         yield RaftVote(self._hard_state.term, self._hard_state.voted_for)
         for index in sorted(self._entries):
             yield RaftEntry(index, msgspec.to_builtins(self._entries[index]))
 
-    def _write(self, fact: RaftVote | RaftEntry | RaftSnapshot) -> int:
-        self.restore(fact)
-        return self._write_fact(fact)
+    def _write(self, record: RaftVote | RaftEntry | RaftSnapshot) -> int:
+        self.restore(record)
+        return self._write_record(record)
 
     def _write_snapshot(self, snapshot: Snapshot) -> int:
         return self._write(RaftSnapshot(msgspec.to_builtins(snapshot)))
 
-    # ---- running -------------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Take part for good.
+        """Take part in consensus until cancelled.
 
-        Not for a member whose log is incomplete: it may have voted otherwise before.
+        A member whose log is incomplete must not take part: it may already have voted differently.
         """
         entries: list[Entry] = []
         while (entry := self._entries.get(self._snapshot.index + len(entries) + 1)) is not None:
@@ -120,13 +117,15 @@
     async def _tick(self, raft: Raft) -> None:
         while True:
             await anyio.sleep(TICK_INTERVAL)
-            if not self._disk.wal.failure_reason:  # what a member does of itself would only wait for the disk
+            # While writes fail, anything that a tick starts would only wait for the disk.
+            if not self._disk.wal.failure_reason:
                 raft.tick()
                 self._changed.set()
 
     def handle_message(self, message: ConsensusMessage) -> None:
-        """Handle a Raft message of another member."""
-        if self.raft is None or self._disk.wal.failure_reason:  # a member that cannot persist may not answer
+        """Handle a Raft message from another member."""
+        # A member must not respond while it cannot persist its state.
+        if self.raft is None or self._disk.wal.failure_reason:
             return
         try:
             raft_message = _DECODER.decode(message.payload)
@@ -137,7 +136,7 @@
         self._changed.set()
 
     async def _advance(self, raft: Raft) -> None:
-        """Carry out what is ready, in the order that Raft needs, however long the disk takes."""
+        """Process the pending Raft output in the required order, however long the disk takes."""
         ready = raft.ready()
         ticket = self._persist(ready)
         if ticket and not await self._disk.wait_durable(ticket):
@@ -159,20 +158,23 @@
             _log.info("leader", leader=raft.leader, term=raft.hard_state.term)
 
     async def _wait_for_disk(self, raft: Raft, ticket: int) -> None:
-        """Be silent until what must be on disk is there: a write has failed, and the log tries it again."""
-        # The records keep their places in the log's queue, so that term, vote and entries come before any
-        # message that rests on them. Others elect a leader meanwhile; whoever waits here is told to go there.
+        """Send nothing until a failed write has succeeded; the log writer retries the write."""
+        # The records keep their positions in the log's queue, so that term, vote and entries are durable
+        # before any message that depends on them. Meanwhile the other members elect a leader, and local
+        # proposals fail so that their callers contact the new leader.
         _log.error(
-            "disk fails: silent in agreement until writes succeed", reason=self._disk.wal.failure_reason
+            "disk write failed: consensus suspended until writes succeed",
+            reason=self._disk.wal.failure_reason,
         )
         self._fail_proposals()
         await self._disk.wait_written(ticket)
-        if not raft.is_leader:  # a leader of a past term is told so by the first answer
+        # A leader of a past term steps down when it receives the first response.
+        if not raft.is_leader:
             raft.step_down()
-        _log.info("disk writes again: back in agreement")
+        _log.info("disk writes succeed again: consensus resumed")
 
     def _persist(self, ready: Ready) -> int:
-        """Write what has to be on disk before any message is sent; the last ticket, 0 for nothing."""
+        """Write the state that must be durable before messages are sent; return the last ticket, or 0."""
         ticket = 0
         if ready.snapshot is not None:
             ticket = self._write_snapshot(ready.snapshot)
@@ -182,18 +184,16 @@
             ticket = self._write(RaftEntry(index, msgspec.to_builtins(entry)))
         return ticket
 
-    # ---- the register --------------------------------------------------------------------------------
-
     def _apply(self, committed: IndexedEntry) -> None:
         command = committed.entry.command
         succeeded = self.register.apply(command) if command is not None else False
         if proposal := self._proposals.pop(committed.log_index, None):
-            # Another leader's entry may have taken the proposal's index.
-            is_own = command is not None and _plain(command) == proposal.command
+            # The entry of another leader may have replaced the proposal at its index.
+            is_own = command is not None and _normalize(command) == proposal.command
             proposal.finish(succeeded and is_own)
 
     def _fail_proposals(self) -> None:
-        """End the proposals of a leader that was deposed: what becomes of them is not known here."""
+        """Fail the proposals of a deposed leader, whose outcome is unknown to this member."""
         proposals, self._proposals = self._proposals, {}
         for proposal in proposals.values():
             proposal.finish(False)
@@ -201,10 +201,11 @@
     async def compare_and_set(
         self, key: str, value: Any, expected_version: int, sequence_number: int
     ) -> bool | None:
-        """Set a key if it has a version; False where it has another one, or this member was deposed.
+        """Set a key if its version is `expected_version`.
 
-        None where this member does not lead: `raft.leader` says who does. False does not prove that nothing
-        was changed, as a deposed leader cannot know; the key's version tells.
+        Returns None if this member is not the leader (`raft.leader` names the leader) or if its disk fails.
+        Returns False if the version differs or this member was deposed. False does not prove that the key is
+        unchanged, as a deposed leader does not know the outcome; the version of the key shows the outcome.
         """
         if self.raft is None or not self.raft.is_leader or self._disk.wal.failure_reason:
             return None
@@ -218,6 +219,6 @@
         return proposal.succeeded
 
 
-def _plain(command: Any) -> CompareAndSet:
-    """A command as it reads once it has been on a wire."""
+def _normalize(command: Any) -> CompareAndSet:
+    """Return a command in the form that it has after encoding and decoding."""
     return decode_command(msgspec.to_builtins(command))
--- a/frostfall/net/digest_server.py
+++ b/frostfall/net/digest_server.py
@@ -1,4 +1,4 @@
-"""Answers other members' anti-entropy requests about records that are held here."""
+"""Answers anti-entropy requests of other members from the records stored by this member."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from frostfall.protocol.member_messages import DIGEST_ENTRIES, DIGEST_ITEMS, DigestReply, DigestRequest
 from frostfall.replication.digest_tree import EMPTY_TREE, DigestQuery, DigestTree, answer_query
 
-MAX_BATCH_ITEMS = 256  # operations in one reply
-MAX_BATCH_BYTES = 256 * 1024  # bytes of answers in one reply, which the last one may exceed
-ITEMS_PER_SLICE = 32  # operations that are read or written before other tasks run
-SESSION_IDLE_TIMEOUT = 60.0  # seconds for which a session is kept without a request
-ITEM_COUNT_BYTES = 4  # bytes of the number of keys that a reply with items has handled
+MAX_BATCH_ITEMS = 256  # operations per reply
+MAX_BATCH_BYTES = 256 * 1024  # bytes of answers per reply; the last answer may exceed the limit
+ITEMS_PER_SLICE = 32  # operations to read or write before other tasks run
+SESSION_IDLE_TIMEOUT = 60.0  # seconds without a request after which a session is removed
+ITEM_COUNT_BYTES = 4  # encoded size of the number of handled keys in a reply with items
 
 
 @dataclass(slots=True)
 class _Session:
-    """A peer's comparison: all its requests are answered from what was on disk after it began."""
+    """A peer's comparison, whose requests are all answered from the same digest trees."""
 
     incarnation_token: str
     number: int
@@ -30,7 +30,7 @@
 
 
 class DigestServer:
-    """Answers the requests of all peers, with one session each."""
+    """Answers the requests of all peers, with one session per peer."""
 
     def __init__(
         self,
@@ -39,9 +39,10 @@
         monotonic: Callable[[], float],
         is_authoritative: Callable[[str, str, str], bool],
     ) -> None:
-        """`is_authoritative` takes owner, sender and the sender's token.
+        """Create a server without sessions.
 
-        It tells whether the owner's record is complete here and the sender's incarnation is on disk.
+        `is_authoritative` is called with the owner, the sender and the sender's incarnation token. It returns
+        whether the owner's record is complete on this member and the sender's incarnation is on disk.
         """
         self._survey = survey
         self._members = members
@@ -50,10 +51,10 @@
         self._sessions: dict[str, _Session] = {}  # by sender
 
     async def answer(self, request: DigestRequest) -> DigestReply:
-        """Answer a request; ValueError where it names nodes that no tree has."""
-        # Once the sender's incarnation is on disk here, this member counts no acknowledgement of an earlier
-        # one any more: what is read from here on has all that can rest on such. Hence the check both before
-        # and after reading.
+        """Return the reply to a request. Raises ValueError if the request names nodes that no tree has."""
+        # Once the sender's incarnation is on disk, this member accepts no acknowledgement of an earlier
+        # incarnation of the sender. Records read after that include all operations that rely on such an
+        # acknowledgement. The check must therefore hold both before and after the read.
         was_authoritative = self._is_authoritative_for(request)
         trees = await self._trees_for(request)
         tree = trees.get(TreeKey(request.owner, request.compare_fences), EMPTY_TREE)
@@ -71,7 +72,7 @@
         return self._is_authoritative(request.owner, request.sender, request.incarnation_token)
 
     async def _trees_for(self, request: DigestRequest) -> DigestTrees:
-        """Return the trees of the sender's session, read from the log where it is a new one."""
+        """Return the trees of the sender's session, reading them from the log for a new session."""
         now = self._monotonic()
         session = self._sessions.get(request.sender)
         self._sessions = {
@@ -79,7 +80,7 @@
             for sender, each in self._sessions.items()
             if now - each.last_used < SESSION_IDLE_TIMEOUT
         }
-        # Session numbers begin anew with each incarnation, and what was read for an earlier one is outdated.
+        # Session numbers restart with each incarnation, and trees of an earlier incarnation are outdated.
         if (
             session is None
             or session.incarnation_token != request.incarnation_token
@@ -92,7 +93,7 @@
         return session.trees
 
     async def _collect_items(self, tree: DigestTree, keys: list[int], items: list[ReplicaItem]) -> int:
-        """Collect the records of as many keys as fit into a reply; the number of keys handled."""
+        """Append to `items` the records of as many keys as fit into a reply; return the number of keys."""
         handled = size = 0
         for key in keys[:MAX_BATCH_ITEMS]:
             if item := self._survey.item_at(tree.location(key)):
--- a/frostfall/net/gossip_transport.py
+++ b/frostfall/net/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Gossip between agents: one UDP datagram a message."""
+"""Transport of gossip between agents, with one UDP datagram per message."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from frostfall import log
 from frostfall.config import Address
 
-MAX_DATAGRAM_BYTES = 256  # the protocol's limit
-MAX_QUEUED_DATAGRAMS = 64  # far more than one tick's; a late one is worth nothing
-SOCKET_RETRY_SECONDS = 0.1  # until the socket is opened again after an error
+MAX_DATAGRAM_BYTES = 256  # limit of the gossip protocol
+# Far more than one tick sends; the oldest are dropped, as late messages are useless.
+MAX_QUEUED_DATAGRAMS = 64
+SOCKET_RETRY_SECONDS = 0.1  # delay before the socket is reopened after an error
 
 _log = log.get_logger("peers")
 
 
 class GossipTransport:
-    """Owns the socket; sends to agents by their numbers and reports what they send."""
+    """Owns the UDP socket, sends messages to agents by number, and passes on received messages."""
 
     def __init__(
         self,
@@ -29,7 +30,7 @@
         broadcast: Address | None,
         on_message: Callable[[int, str], None],
     ) -> None:
-        """Listen at `listen`; agents are numbered by their place in `peers`."""
+        """Create a transport that binds to `listen`; agents are numbered by their index in `peers`."""
         self._listen = listen
         self._peers = peers
         self._broadcast = broadcast
@@ -39,11 +40,14 @@
         self._wake = anyio.Event()
 
     def send(self, peer: int | None, text: str) -> None:
-        """Send one message to an agent, or to all with None; what cannot be sent is dropped."""
+        """Queue a message to an agent, or to the broadcast address if `peer` is None.
+
+        A message that is too long or has no valid receiver is dropped.
+        """
         data = text.encode()
         target = self._target(peer)
         if target is None or len(data) > MAX_DATAGRAM_BYTES:
-            _log.warning("message dropped", peer=peer, size=len(data))
+            _log.warning("gossip message dropped", peer=peer, size=len(data))
             return
         self._queue.append((data, target))
         self._wake.set()
@@ -54,7 +58,7 @@
         return self._peers[peer] if 0 <= peer < len(self._peers) else None
 
     async def run(self) -> None:
-        """Send and receive, on a new socket after each failure of one."""
+        """Send and receive until cancelled, reopening the socket after each failure."""
         while True:
             try:
                 async with (
@@ -67,8 +71,8 @@
                     async for data, (host, port) in udp:
                         self._receive(data, host, port)
                     task_group.cancel_scope.cancel()
-            except Exception as error:  # a task boundary: whatever failed, the next socket may work
-                _log.warning("socket failed", why=repr(error))
+            except Exception as error:  # task boundary: reopen the socket after any failure
+                _log.warning("gossip socket failed", why=repr(error))
             await anyio.sleep(SOCKET_RETRY_SECONDS)
 
     def _receive(self, data: bytes, host: str, port: int) -> None:
--- a/frostfall/net/health_log.py
+++ b/frostfall/net/health_log.py
@@ -1,4 +1,4 @@
-"""The log line on the agent's own health."""
+"""Periodic log line with the health of the agent process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HealthLog:
-    """Reads the figures off their owners and writes them to the log, every few seconds."""
+    """Collects health figures from the agent's components and logs them periodically."""
 
     timers: TimerQueue
     clients: ClientConnections
@@ -38,13 +38,13 @@
     max_descriptors: int
 
     async def run(self) -> None:
-        """Write a line every `INTERVAL_SECONDS`, for good."""
+        """Write a log line every `INTERVAL_SECONDS` until cancelled."""
         while True:
             await anyio.sleep(INTERVAL_SECONDS)
             self.write()
 
     def write(self) -> None:
-        """Write one line; the figures that count since the last line start anew."""
+        """Write one log line and reset the figures that are counted per line."""
         lateness_micros, self.timers.max_lateness = self.timers.max_lateness, 0
         _log.info(
             "health",
@@ -69,5 +69,5 @@
     def _open_descriptors(self) -> int:
         try:
             return len(os.listdir("/proc/self/fd"))
-        except OSError:  # counting them takes a descriptor: all are in use
+        except OSError:  # listing the directory needs a free descriptor, so all are in use
             return self.max_descriptors
--- a/frostfall/net/log_survey.py
+++ b/frostfall/net/log_survey.py
@@ -1,4 +1,4 @@
-"""Reads this member's own log for anti-entropy, and moves records out of corrupted segments."""
+"""Reads this member's log for anti-entropy and rewrites the records of corrupted segments."""
 
 from __future__ import annotations
 
@@ -17,28 +17,31 @@
 from frostfall.storage.segment_codec import Record, RecordState, SegmentEnd, SegmentScan, iter_records
 from frostfall.storage.write_ahead_log import operation_key
 
-RECORDS_PER_SLICE = 64  # records that are read or written before other tasks run
-SLICE_PAUSE = 0.002  # seconds between two slices
-RETIRE_POLL_INTERVAL = 0.25  # seconds between two looks whether retired segments are gone
-STATES_WITHOUT_END = (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)  # copied into every new segment
+RECORDS_PER_SLICE = 64  # records to read or write before other tasks run
+SLICE_PAUSE = 0.002  # seconds between slices
+RETIRE_POLL_INTERVAL = 0.25  # seconds between checks for the removal of retired segments
+STATES_WITHOUT_END = (
+    RecordState.OPEN,
+    RecordState.OUTCOME_UNKNOWN,
+)  # the log copies these into every new segment
 
 _log = log.get_logger("repair")
 
 
 class TreeKey(NamedTuple):
-    """What a digest tree is of: an owner's operations, or the fences against them."""
+    """Identifies a digest tree: the operations of an owner, or the fences against its operations."""
 
     owner: str
     fences: bool
 
 
 class ReplicaItem(NamedTuple):
-    """An operation's record as it is sent to another member."""
+    """The record of an operation as sent to another member."""
 
     state: int
     operation: str
     answer: bytes | None
-    age: int  # seconds of running time; 0 where it has no end
+    age: int  # seconds of running time; 0 for an operation that has not ended
 
 
 DigestTrees = dict[TreeKey, DigestTree]
@@ -46,10 +49,10 @@
 
 
 class LogSurvey:
-    """Digest trees and items out of the log, whose checksums are verified on the way."""
+    """Builds digest trees and items from the log, verifying the checksums of the records."""
 
     def __init__(self, disk: LogWriter, on_corruption: Callable[[str], None]) -> None:
-        """`on_corruption` is called with a reason for each segment that cannot be read any more."""
+        """Create a survey; `on_corruption` is called with a reason for each segment found unreadable."""
         self._disk = disk
         self._on_corruption = on_corruption
         self._reading = anyio.Lock()
@@ -57,13 +60,14 @@
 
     @property
     def found_corruption(self) -> bool:
-        """Whether there are corrupted segments that `rewrite_corrupted` has still to remove."""
+        """Return whether there are corrupted segments for `rewrite_corrupted` to remove."""
         return bool(self._corrupted_segments)
 
     async def digest_trees(self) -> DigestTrees:
-        """Read the whole log.
+        """Read the whole log and return its digest trees.
 
-        All that was on disk at the call is in the trees, also where it was rewritten meanwhile.
+        The trees contain every record that was on disk at the call, including records that are rewritten
+        during the read.
         """
         locations: _Locations = defaultdict(dict)
         number = 0
@@ -84,7 +88,7 @@
         try:
             raw = await self._disk.read_range(number, 0, size)
         except OSError as error:
-            if wal.segment_size(number):  # else it was removed meanwhile
+            if wal.segment_size(number):  # 0 if the segment was removed during the read
                 self._note_corruption(number, 0, str(error))
             return
         scan = SegmentScan()
@@ -96,7 +100,7 @@
                 location = pack_location(number, offset, RecordState(state))
                 if wal.is_current(key, location):
                     self._add_location(number, RecordState(state), bytes(payload), location, locations)
-        # An end that looks torn was complete once where batches that were durable are missing.
+        # The end of the last segment is corrupted, not torn by a crash, if durable batches are missing.
         is_truncated = is_last and scan.last_batch < last_durable_batch
         if (scan.end is SegmentEnd.CORRUPTED or is_truncated) and wal.segment_size(number):
             self._note_corruption(number, scan.valid_bytes, scan.reason)
@@ -107,13 +111,13 @@
         wal = self._disk.wal
         has_ended = state not in STATES_WITHOUT_END
         if has_ended and self._max_age(segment, payload) >= wal.options.keep:
-            return  # it is about to expire here, and must not live for ever by being passed around
+            return  # otherwise peers could restore expiring records from each other indefinitely
         owner, operation = split_replica_name(decode_name(payload))
         key = TreeKey(owner or wal.owner, state == RecordState.FENCED)
         locations[key][operation_key(operation)] = location
 
     def item_at(self, location: int) -> ReplicaItem | None:
-        """Return the record at a packed location; None for 0, or where it has moved since it was read."""
+        """Return the record at a packed location, or None for 0 or if the record has been moved."""
         if not location:
             return None
         segment, offset, state = unpack_location(location)
@@ -127,7 +131,10 @@
         )
 
     def _max_age(self, segment: int, payload: bytes) -> float:
-        """Seconds of running time that a record can be old, what it was when it was restored included."""
+        """Return the maximum age of a record in seconds of running time.
+
+        The age includes the age that the record had when it was restored from a replica.
+        """
         return self._disk.wal.max_record_age(segment, self._disk.elapsed_seconds) + decode_age(payload)
 
     def _note_corruption(self, segment: int, valid_bytes: int, reason: str) -> None:
@@ -138,7 +145,7 @@
             self._on_corruption(f"segment {segment}: {reason}")
 
     async def rewrite_corrupted(self) -> None:
-        """Write what is current in segments up to the last corrupted one anew, and remove these segments."""
+        """Rewrite the current records of segments up to the last corrupted one, then remove the segments."""
         wal = self._disk.wal
         last = max(self._corrupted_segments)
         _log.info("corrupted segments rewriting", up_to=last)
@@ -153,7 +160,10 @@
         _log.info("corrupted segments removed", up_to=last)
 
     async def _rewrite_through(self, last: int) -> int | None:
-        """Rewrite the current records of segments up to `last`: the last ticket, None for a failed disk."""
+        """Rewrite the current records of segments up to `last`.
+
+        Returns the last ticket, or None if writes fail.
+        """
         wal = self._disk.wal
         ticket = 0
         for _, location in list(wal.index.items()):
--- a/frostfall/net/log_writer.py
+++ b/frostfall/net/log_writer.py
@@ -1,4 +1,4 @@
-"""Driver of the write-ahead log: segments as files of a directory, and the task that writes them."""
+"""Driver of the write-ahead log: segment files in a directory, and the task that writes them."""
 
 from __future__ import annotations
 
@@ -23,10 +23,11 @@
 from frostfall.storage.segment_codec import DecodedRecord, RecordState
 from frostfall.storage.write_ahead_log import SegmentWrite, WriteAheadLog
 
-FIRST_READ_BYTES = 512  # holds most records; a longer one is read again with the maximum
+# Sufficient for most records; longer records are read again with MAX_RECORD_READ_BYTES.
+FIRST_READ_BYTES = 512
 MAX_RECORD_READ_BYTES = 1 << 17
-MIN_RETRY_SECONDS = 0.1  # after a write that failed, doubling to ...
-MAX_RETRY_SECONDS = 0.2  # what waits for the disk goes on within a second once it can
+MIN_RETRY_SECONDS = 0.1  # delay after the first failed write, doubled up to MAX_RETRY_SECONDS
+MAX_RETRY_SECONDS = 0.2  # short, so that tasks waiting for the disk resume within a second of its recovery
 
 _SEGMENT_FILE_NAME = re.compile(r"(\d{10})\.seg\Z")
 _NO_FD = -1
@@ -39,11 +40,11 @@
 
     state: RecordState
     payload: bytes
-    location: int  # packed
+    location: int  # packed, see `pack_location`
 
 
 class SegmentDirectory:
-    """Segments as files of one directory. Every method blocks and may raise OSError."""
+    """Segment files in one directory. Every method blocks and may raise OSError."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -53,8 +54,8 @@
     def lock(self) -> None:
         """Create the directory if it does not exist, and lock it for this process.
 
-        Two processes that write to one directory would corrupt its log. Raises DirectoryInUseError where
-        another one holds the lock.
+        Two processes that write to the same directory would corrupt its log. Raises DirectoryInUseError if
+        another process holds the lock.
         """
         self.path.mkdir(parents=True, exist_ok=True)
         self._lock_fd = os.open(self.path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
@@ -74,7 +75,7 @@
         return self._segment_path(number).read_bytes()
 
     def read_range(self, number: int, offset: int, size: int) -> bytes:
-        """Read up to `size` bytes of a segment from an offset on."""
+        """Read up to `size` bytes of a segment, starting at an offset."""
         fd = os.open(self._segment_path(number), os.O_RDONLY | os.O_CLOEXEC)
         try:
             return os.pread(fd, size, offset)
@@ -82,7 +83,7 @@
             os.close(fd)
 
     def truncate(self, number: int, size: int) -> None:
-        """Shorten a segment to `size` bytes, and sync that."""
+        """Truncate a segment to `size` bytes and sync the file."""
         fd = os.open(self._segment_path(number), os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -91,7 +92,7 @@
             os.close(fd)
 
     def start_segment(self, number: int) -> None:
-        """Create a segment, or empty an old file of its name, and append to it from now on."""
+        """Create a segment, or truncate an existing file of the same name, and direct appends to it."""
         flags = os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_CLOEXEC
         fd = os.open(self._segment_path(number), flags, 0o600)
         if self._output_fd != _NO_FD:
@@ -105,11 +106,11 @@
             remaining = remaining[os.write(self._output_fd, remaining) :]
 
     def sync_data(self) -> None:
-        """Return once what was appended is durable."""
+        """Sync appended data to disk."""
         os.fdatasync(self._output_fd)
 
     def sync_directory(self) -> None:
-        """Return once new and removed names are durable."""
+        """Sync created and removed directory entries to disk."""
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -117,7 +118,7 @@
             os.close(fd)
 
     def remove_segment(self, number: int) -> None:
-        """Remove a segment, if it exists."""
+        """Remove a segment if it exists."""
         self._segment_path(number).unlink(missing_ok=True)
 
     def close(self) -> None:
@@ -133,12 +134,12 @@
 
 
 def segment_directory(path: Path) -> SegmentDirectory:
-    """Open the directory of an agent's log; the bench replaces this to simulate disk faults."""
+    """Open the directory of an agent's log; the bench replaces this function to simulate disk faults."""
     return SegmentDirectory(path)
 
 
 def execute_write(directory: SegmentDirectory, write: SegmentWrite) -> None:
-    """Execute the steps of a write in order; raises the OSError of the step that fails."""
+    """Execute the steps of a write in order. Raises the OSError of a failed step."""
     if write.truncate:
         directory.truncate(write.truncate.segment, write.truncate.size)
     if write.starts_segment:
@@ -151,12 +152,12 @@
     for number in write.obsolete_segments:
         try:
             directory.remove_segment(number)
-        except OSError as error:  # the write is durable; a start removes what was left over
-            _log.warning("obsolete segment left over", segment=number, reason=str(error))
+        except OSError as error:  # the write is durable, and the segment is removed at the next start
+            _log.warning("obsolete segment not removed", segment=number, reason=str(error))
 
 
 class LogWriter:
-    """Runs a write-ahead log on a directory: one write after another, each in a thread."""
+    """Runs a write-ahead log on a directory; writes are executed one at a time, each in a thread."""
 
     def __init__(
         self,
@@ -165,28 +166,31 @@
         steady_clock: Callable[[], float] = monotonic,
         run_blocking: Callable[..., Awaitable[Any]] = run_sync,
     ) -> None:
-        """Nothing is read or written before `open`. `run_blocking` runs a blocking call in a thread."""
+        """Create a writer, which performs no I/O before `open`.
+
+        `run_blocking` runs a blocking call in a thread.
+        """
         self.directory = directory
         self.wal = wal
         self.run_blocking = run_blocking
-        self.commit_count = 0  # writes that are durable
+        self.commit_count = 0  # number of durable writes
         self.is_open = False
         self._steady_clock = steady_clock
         self._started_at = steady_clock()
-        self._waiters: deque[tuple[int, Callable[[bool], None]]] = deque()  # in the order of their tickets
+        self._waiters: deque[tuple[int, Callable[[bool], None]]] = deque()  # ordered by ticket
         self._wake = anyio.Event()
         self._on_recovery: list[Callable[[], None]] = []
 
     @property
     def elapsed_seconds(self) -> float:
-        """Running time of the owner over all its incarnations, by a steady clock."""
+        """Total running time of the owner over all its incarnations, by a monotonic clock."""
         return self.wal.previous_run_seconds + self._steady_clock() - self._started_at
 
     async def open(self, on_metadata: Callable[[bytes], None]) -> None:
-        """Lock the directory and recover the log. Raises OSError where the directory cannot be used at all.
+        """Lock the directory and recover the log. Raises OSError if the directory cannot be used at all.
 
-        `on_metadata` is called with each metadata record, in a thread. A log that is found unusable raises
-        nothing: `is_open` stays False.
+        `on_metadata` is called in a thread with each metadata record. An unusable log raises no error, but
+        `is_open` stays False.
         """
 
         def recover() -> None:
@@ -203,7 +207,7 @@
             self.is_open = True
 
     async def run(self) -> None:
-        """Execute the log's writes until cancelled; after one that fails, again ever more slowly."""
+        """Execute the writes of the log until cancelled, retrying failed writes with backoff."""
         pause = MIN_RETRY_SECONDS
         while True:
             self._wake = anyio.Event()
@@ -236,13 +240,14 @@
                 self._notify_recovered()
 
     def wake(self) -> None:
-        """Have queued records written that nobody waits for."""
+        """Start writing queued records that no caller waits for."""
         self._wake.set()
 
     def when_durable(self, ticket: int, callback: Callable[[bool], None]) -> None:
-        """Call back with True once a ticket is durable, or with False once a write fails before.
+        """Call back with True once a ticket is durable, or with False if a write fails before that.
 
-        What failed may become durable later: see `when_recovered`. Tickets must not decrease between calls.
+        Records of a failed write may become durable later, see `when_recovered`. Tickets must not decrease
+        between calls.
         """
         if self.wal.failure_reason:
             callback(False)
@@ -253,7 +258,7 @@
             self._wake.set()
 
     async def wait_durable(self, ticket: int) -> bool:
-        """Wait until a ticket is durable; False where a write fails before."""
+        """Wait until a ticket is durable; return False if a write fails before that."""
         outcome: list[bool] = []
         decided = anyio.Event()
 
@@ -266,7 +271,7 @@
         return outcome[0]
 
     def when_written(self, ticket: int, callback: Callable[[], None]) -> None:
-        """Call back once a ticket is durable, however many writes fail before."""
+        """Call back once a ticket is durable, regardless of failed writes before that."""
 
         def on_durable(is_durable: bool) -> None:
             if is_durable:
@@ -277,13 +282,13 @@
         self.when_durable(ticket, on_durable)
 
     async def wait_written(self, ticket: int) -> None:
-        """Wait until a ticket is durable, however many writes fail before."""
+        """Wait until a ticket is durable, regardless of failed writes before that."""
         written = anyio.Event()
         self.when_written(ticket, written.set)
         await written.wait()
 
     def when_recovered(self, callback: Callable[[], None]) -> None:
-        """Call back once writes succeed again; all that was appended before is durable by then, or queued."""
+        """Call back once writes succeed; all records appended before are then durable or queued."""
         if self.wal.failure_reason:
             self._on_recovery.append(callback)
         else:
@@ -294,7 +299,7 @@
         for callback in callbacks:
             try:
                 callback()
-            except Exception:  # an error in the code behind one record must not keep the others from it
+            except Exception:  # an error in one callback must not prevent the others from being called
                 _log.exception("recovery callback failed")
 
     async def read_range(self, number: int, offset: int, size: int) -> bytes:
@@ -303,20 +308,25 @@
         return data
 
     def find_record(self, key: int, matches: Callable[[bytes], bool]) -> FoundRecord | None:
-        """Find the record of a key whose payload matches. Blocks for a short read.
+        """Find the record with a key and a matching payload. Blocks for a short read.
 
-        Raises OSError, or RecordMismatchError (a ValueError) where the log does not hold what the index says.
+        Raises OSError, or RecordMismatchError (a ValueError) if a record differs from its index entry.
         """
         for segment, offset, state in self.wal.find_locations(key):
             record = self.read_record(segment, offset)
             if record is None or record.key != key:
-                raise RecordMismatchError(f"segment {segment}, byte {offset}: not what was written")
+                raise RecordMismatchError(
+                    f"segment {segment}, byte {offset}: record differs from its index entry"
+                )
             if matches(record.payload):
                 return FoundRecord(state, record.payload, pack_location(segment, offset, state))
         return None
 
     def read_record(self, segment: int, offset: int) -> DecodedRecord | None:
-        """Read the record at a location; None where there is none. Blocks shortly and may raise OSError."""
+        """Return the record at a location, or None if no valid record is there.
+
+        Blocks for a short read. Raises OSError.
+        """
         version = self.wal.format_version_of(segment)
         raw = self.directory.read_range(segment, offset, FIRST_READ_BYTES)
         record = segment_codec.decode_record(raw, version)
@@ -332,5 +342,5 @@
             try:
                 callback(ticket <= self.wal.durable_ticket)
             except Exception:
-                # An error in the code behind one commit must not keep the others from being notified.
+                # An error in one callback must not prevent the other waiters from being notified.
                 _log.exception("durability callback failed")
--- a/frostfall/net/member_transport.py
+++ b/frostfall/net/member_transport.py
@@ -1,4 +1,4 @@
-"""Transport between members of the group: a connection to each other member, and a listener for theirs."""
+"""Transport between group members: outgoing connections to peers, and a listener for incoming connections."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
     StatusReply,
 )
 
-HANDSHAKE_TIMEOUT = 2.0  # seconds for the other side to prove that it has the key
+HANDSHAKE_TIMEOUT = 2.0  # seconds for the remote side to prove that it has the key
 MIN_RECONNECT_DELAY = 0.05  # seconds
 MAX_RECONNECT_DELAY = 0.4  # seconds
-MIN_IDLE_WAIT = 0.02  # seconds between two rounds while there is no heartbeat to send
-MAX_UNANSWERED_HEARTBEATS = 10  # before a connection is closed and opened again
-# Connections accepted for each member: its own, an old one that hangs, and operators'.
+# Minimum seconds to wait for new messages; limits polling while no heartbeat is available.
+MIN_IDLE_WAIT = 0.02
+MAX_UNANSWERED_HEARTBEATS = 10  # a connection with more unanswered heartbeats is closed and reopened
+# Accepted connections per member: its current connection, a stale one, and operators' connections.
 CONNECTIONS_PER_MEMBER = 4
 
 _log = log.get_logger("group")
@@ -44,15 +45,15 @@
 
 @dataclass(slots=True)
 class PeerOperationStatus:
-    """What another member knows of an operation."""
+    """Status of an operation as recorded by another member."""
 
     status: str  # value of an OperationStatus
     answer: bytes | None
-    incarnation_token: str  # of that member
-    recorded_tokens: dict[str, str]  # incarnation tokens that it has on disk of all other members
+    incarnation_token: str  # token of that member's incarnation
+    recorded_tokens: dict[str, str]  # by member: incarnation tokens that the replying member has on disk
 
 
-# Called with None where the connection ends before the reply.
+# Callbacks receive None if the connection ends before the reply arrives.
 StatusCallback = Callable[[PeerOperationStatus | None], None]
 ReplyCallback = Callable[[MemberMessage | None], None]
 
@@ -68,11 +69,11 @@
 
 
 def _ignore_endpoint_list(endpoint_list: Any) -> None:
-    """Drop a list that nobody has asked for."""
+    """Discard an endpoint list that was not requested."""
 
 
 class MemberConnection:
-    """Connection to one member: sends heartbeats and requests, and receives their replies."""
+    """Connection to one member that sends heartbeats and requests and receives the replies."""
 
     def __init__(
         self,
@@ -84,13 +85,14 @@
         on_heartbeat: Callable[[Heartbeat], None],
         identity: Callable[[], tuple[str, str]],
     ) -> None:
-        """Nothing is sent before `run`.
+        """Create a connection that sends nothing before `run` is called.
 
-        `heartbeat_interval` is in seconds. `make_heartbeat` returns the heartbeat for this member, or None
-        while none is to be sent; `identity` the own name and incarnation token.
+        `heartbeat_interval` is in seconds. `make_heartbeat` returns the heartbeat for the member, or None
+        while heartbeats are not to be sent. `identity` returns this process's member name and incarnation
+        token.
         """
         self.name = name
-        self.connected = False  # whether the member has answered a heartbeat on this connection
+        self.connected = False  # True once the member has answered a heartbeat on this connection
         self._address = address
         self._key = key
         self._heartbeat_interval = heartbeat_interval
@@ -99,7 +101,7 @@
         self._identity = identity
         self._request_ids = count(1)
         self._wake = anyio.Event()
-        self._next_heartbeat_at = 0.0  # by the steady clock
+        self._next_heartbeat_at = 0.0  # seconds of the monotonic clock
         self._unanswered_heartbeats = 0
         self._pending_queries: dict[str, list[StatusCallback]] = {}  # by operation
         self._queries_in_flight: dict[int, list[_StatusWaiters]] = {}  # by request id
@@ -110,18 +112,18 @@
         self._on_endpoint_list: Callable[[Any], None] = _ignore_endpoint_list
 
     def send_heartbeat_now(self) -> None:
-        """Send a heartbeat without waiting for the interval."""
+        """Send a heartbeat without waiting for the heartbeat interval."""
         self._next_heartbeat_at = 0.0
         self._wake.set()
 
     def request_endpoint_list(self, on_reply: Callable[[Any], None]) -> None:
-        """Ask for the member's endpoint list, now or once the connection is up."""
+        """Request the member's endpoint list as soon as the connection is up."""
         self._on_endpoint_list = on_reply
         self._endpoint_list_wanted = True
         self._wake.set()
 
     def query_status(self, operation: str, on_reply: StatusCallback) -> None:
-        """Ask what the member knows of an operation; queries of the same moment are sent as one."""
+        """Query the member's status of an operation; pending queries are sent in one message."""
         if not self.connected:
             on_reply(None)
             return
@@ -129,7 +131,7 @@
         self._wake.set()
 
     def request(self, make_request: Callable[[int], MemberMessage], on_reply: ReplyCallback) -> None:
-        """Send the request that `make_request` makes for a request id."""
+        """Send the request that `make_request` builds for a request id."""
         if not self.connected:
             on_reply(None)
             return
@@ -137,13 +139,13 @@
         self._wake.set()
 
     def send(self, message: MemberMessage) -> None:
-        """Send a message that has no reply; it is dropped while the connection is down."""
+        """Send a message that has no reply; messages are dropped while the connection is down."""
         if self.connected:
             self._pending_messages.append(message)
             self._wake.set()
 
     async def run(self) -> None:
-        """Keep the connection up until cancelled."""
+        """Maintain the connection until cancelled, reconnecting with backoff."""
         backoff = Backoff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
         while True:
             was_connected = False
@@ -154,14 +156,14 @@
                 was_connected = self.connected
                 _log.debug("member connection closed", member=self.name, reason=repr(error))
             except Exception:
-                # An error in a callback must not end the connection to this member for good.
+                # An error in a callback must not permanently stop reconnecting to this member.
                 _log.exception("member connection failed", member=self.name)
             finally:
                 self._reset()
             await backoff.sleep(was_connected)
 
     def _reset(self) -> None:
-        """Forget what depends on the connection, and tell all waiters that it has ended."""
+        """Clear the state of the connection and call all pending callbacks with None."""
         self.connected = False
         self._next_heartbeat_at = 0.0
         self._unanswered_heartbeats = 0
@@ -184,14 +186,14 @@
             on_reply(None)
 
     async def _run_connection(self, stream: Stream) -> bool:
-        """Send and receive until the connection ends; returns whether the member has answered."""
+        """Send and receive until the connection ends; return whether the member answered a heartbeat."""
         channel = await _open_channel(stream, self._key)
         with anyio.fail_after(HANDSHAKE_TIMEOUT):
             await _receive_nonce(stream, channel)
         async with anyio.create_task_group() as group:
 
             async def receive() -> None:
-                # The error of a child task is raised in an exception group, which `run` does not expect.
+                # Errors of a child task would be raised as an exception group, which `run` does not handle.
                 with suppress(MemberProtocolError, *STREAM_ERRORS):
                     while True:
                         for message in channel.receive_data(await stream.receive()):
@@ -200,15 +202,15 @@
 
             group.start_soon(receive)
             with suppress(*STREAM_ERRORS):
-                # A machine that has lost power never closes its connections. The limit counts heartbeats that
-                # were sent, not time, so that a pause of this process ends no connection.
+                # A machine that loses power never closes its connections. The limit counts sent heartbeats
+                # instead of time, so that a pause of this process does not close the connection.
                 while self._unanswered_heartbeats <= MAX_UNANSWERED_HEARTBEATS:
                     await self._send_pending(stream, channel)
             group.cancel_scope.cancel()
         return self.connected
 
     async def _send_pending(self, stream: Stream, channel: AuthenticatedChannel) -> None:
-        """Send all that is due, then wait until there is more or the next heartbeat is due."""
+        """Send all pending messages, then wait for new ones or until the next heartbeat is due."""
         self._wake = anyio.Event()
         now = monotonic()
         if now >= self._next_heartbeat_at and (heartbeat := self._make_heartbeat(self.name)):
@@ -260,17 +262,17 @@
 
 
 class MemberListener:
-    """Accepts the connections of other members and of operators."""
+    """Accepts connections from other members and from operators."""
 
     def __init__(self, key: str, max_connections: int, respond: Callable[[MemberMessage], Response]) -> None:
-        """`respond` returns the reply to a message, an awaitable of it, or None where it has none."""
+        """Create a listener; `respond` returns the reply to a message, an awaitable of the reply, or None."""
         self._key = key
         self._max_connections = max_connections
         self._respond = respond
         self._connection_count = 0
 
     async def run(self, address: Address) -> None:
-        """Listen until cancelled; raises OSError where the address cannot be listened on."""
+        """Listen until cancelled. Raises OSError if the listener cannot be opened."""
         listener = open_listener(address)
         try:
             async with anyio.create_task_group() as group:
@@ -293,7 +295,7 @@
             if isinstance(error, MemberProtocolError | TimeoutError):
                 _log.warning("connection rejected", reason=repr(error))
         except Exception:
-            # An error in the handling of one connection must not end the others.
+            # An error in the handler of one connection must not close the others.
             _log.exception("connection handler failed")
         finally:
             self._connection_count -= 1
@@ -323,7 +325,7 @@
 
 
 class _ReplySender:
-    """Sends replies on one connection, each as a whole."""
+    """Sends replies on one connection, one at a time."""
 
     def __init__(self, stream: Stream, channel: AuthenticatedChannel) -> None:
         self._stream = stream
@@ -331,13 +333,14 @@
         self._lock = anyio.Lock()
 
     async def send(self, reply: MemberMessage) -> None:
-        """Send a reply once the replies before it are sent."""
-        # Frames are numbered as they are encoded, and a long one is sent in several parts.
+        """Send a reply after all earlier replies are sent."""
+        # Frames are numbered when they are encoded, and a long frame is sent in several parts, so frames
+        # must not interleave.
         async with self._lock:
             await self._stream.send(self._channel.encode(reply))
 
     async def send_later(self, reply: Awaitable[MemberMessage]) -> None:
-        """Send a reply once it is known, unless the connection has ended."""
+        """Wait for a reply and send it; do nothing if the connection has ended."""
         with suppress(*STREAM_ERRORS):
             await self.send(await reply)
 
@@ -347,7 +350,7 @@
 ) -> OperatorReport:
     """Send an operator's command to one member and return its report.
 
-    Raises OSError, MemberProtocolError or one of STREAM_ERRORS where that fails.
+    Raises OSError, MemberProtocolError or one of STREAM_ERRORS if the command or its report fails.
     """
     async with open_stream(address) as stream:
         channel = await _open_channel(stream, key)
@@ -361,7 +364,7 @@
 
 
 async def _open_channel(stream: Stream, key: str, is_initiator: bool = True) -> AuthenticatedChannel:
-    """Send a nonce, and return the channel that goes with it."""
+    """Send a nonce and return the channel that uses the nonce."""
     nonce = os.urandom(NONCE_BYTES)
     await stream.send(nonce)
     return AuthenticatedChannel(key, is_initiator, nonce)
@@ -373,5 +376,5 @@
 
 
 def _request_id(message: MemberMessage) -> int:
-    """Request id of a message; 0 where it has none."""
+    """Return the request id of a message, or 0 for a consensus message."""
     return 0 if isinstance(message, ConsensusMessage) else message.request_id
--- a/frostfall/net/recovery/member.py
+++ b/frostfall/net/recovery/member.py
@@ -240,7 +240,7 @@
             self._operation_context.task_group = group
             if self._replication:
                 self._replication.task_group = group
-                self._replication.lines = self._core.connections
+                self._replication.connections = self._core.connections
             group.start_soon(self._readiness_driver.run)
             group.start_soon(self._listen)
             await self._log_replay.run()
--- a/frostfall/net/replication.py
+++ b/frostfall/net/replication.py
@@ -1,4 +1,4 @@
-"""Drives replication in a running agent: its own record at its holders, and the replicas that it holds."""
+"""Replication driver of an agent: replicates its own operations and stores replicas for other members."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 from frostfall.replication.replica_store import ReplicaStore, ReplicaUpdate
 from frostfall.storage.segment_codec import RecordState
 
-RETRY_INTERVAL = 0.05  # seconds between two attempts to reach a holder
-MAX_RETRY_DELAY = 2.0  # seconds between two attempts in the background, doubled up to this
-MAX_PENDING_DELIVERIES = 10_000  # updates that wait for holders in the background; further ones are dropped
+RETRY_INTERVAL = 0.05  # seconds between attempts to reach a holder
+MAX_RETRY_DELAY = 2.0  # seconds; upper limit of the doubling delay between background attempts
+MAX_PENDING_DELIVERIES = 10_000  # background updates that wait for holders; further updates are dropped
 
 ReplyCallback = Callable[[MemberMessage | None], None]
 
 
 class HolderCounts(NamedTuple):
-    """How many of an agent's holders can acknowledge a write, and how many have to."""
+    """Number of holders of an agent that can acknowledge a write, and the number required."""
 
     available: int
     required: int
 
 
 class _HolderAnswer(NamedTuple):
-    """A holder's answer to a read, and the token of the incarnation in which it gave it."""
+    """A holder's answer to a read, with the token of the incarnation that answered."""
 
     result: OperationResult
     incarnation_token: str
@@ -51,45 +51,45 @@
 
 @dataclass(frozen=True, slots=True)
 class _Read:
-    """What is read at an owner's holders."""
+    """Parameters of a read at an owner's holders."""
 
     owner: str
     operation: str
     fence: bool
-    is_trusted: Callable[[], bool]  # whether this member's own record and incarnation can be trusted
+    is_trusted: Callable[[], bool]  # returns whether this member's own record and incarnation can be trusted
 
 
 class _RepeatedRequests:
-    """Requests to members, repeated after RETRY_INTERVAL where no reply comes."""
+    """Requests to several members, repeated after RETRY_INTERVAL for members that have not replied."""
 
     def __init__(self, names: Iterable[str]) -> None:
-        self.missing = list(names)  # members to whom nothing was sent yet, or without an answer
+        self.missing = list(names)  # members to which no request was sent yet, or whose request failed
         self._due = 0.0
         self._changed = anyio.Event()
 
     def send(self, send_to: Callable[[str], None]) -> None:
-        """Send to the members that are missing, unless that was tried a moment ago."""
-        # A member without a connection fails at once: sent again at once, that would be a busy loop.
+        """Send to the missing members, unless the last attempt was less than RETRY_INTERVAL ago."""
+        # Requests fail immediately without a connection, so that immediate retries would be a busy loop.
         if self.missing and (now := anyio.current_time()) >= self._due:
             names, self.missing, self._due = self.missing, [], now + RETRY_INTERVAL
             for name in names:
                 send_to(name)
 
     def finished(self, name: str, answered: bool) -> None:
-        """Note that a request has ended, with or without an answer."""
+        """Record that a request has ended, with or without an answer."""
         if not answered:
             self.missing.append(name)
         self._changed.set()
 
     async def wait(self) -> None:
-        """Wait for a request to end, for RETRY_INTERVAL at most."""
+        """Wait up to RETRY_INTERVAL for a request to end."""
         with anyio.move_on_after(RETRY_INTERVAL):
             await self._changed.wait()
         self._changed = anyio.Event()
 
 
 class ReplicationDriver:
-    """One agent's quorum writes and fenced reads, and its answers to those of others."""
+    """Performs quorum writes and fenced reads of one agent, and handles those of other members."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
         disk: LogWriter,
         store: ReplicaStore,
     ) -> None:
-        """Set `lines` and `task_group` before anything else is called."""
+        """Create a driver; `connections` and `task_group` must be set before any other method is called."""
         self._own_name = own
         self._options = options
         self._scheduler = scheduler
@@ -109,14 +109,14 @@
         self.store = store
         self.ensemble = scheduler.ensembles[own]
         self.required_acknowledgements = min(options.acknowledged, len(self.ensemble))
-        self.lines: dict[str, MemberConnection] = {}  # by member
+        self.connections: dict[str, MemberConnection] = {}  # by member
         self.task_group: TaskGroup | None = None
         self._pending_deliveries = 0
 
     @property
     def holder_counts(self) -> HolderCounts:
-        """How many holders are alive with a sound record, and how many of them a write needs."""
-        available = sum(self._is_alive(name) and self._sound(name) for name in self.ensemble)
+        """Number of live holders with a complete and current record, and the number that a write requires."""
+        available = sum(self._is_alive(name) and self._has_valid_record(name) for name in self.ensemble)
         required = self.required_acknowledgements
         if self._options.few == "take":
             required = min(required, available)
@@ -124,24 +124,22 @@
 
     @property
     def is_degraded(self) -> bool:
-        """Whether writes are acknowledged by fewer holders than operators asked for."""
+        """Return whether writes require fewer acknowledgements than configured."""
         return self.holder_counts.required < self.required_acknowledgements
 
     def _is_alive(self, name: str) -> bool:
         return self._members.peers[name].state is MemberState.ALIVE
 
-    def _sound(self, name: str) -> bool:
+    def _has_valid_record(self, name: str) -> bool:
         peer = self._members.peers[name]
         return not (peer.incomplete_reason or peer.stale_reason or peer.latest_stale_reason)
 
-    # ---- the agent's own record -----------------------------------------------------------------------
-
     async def quorum_write(
         self, update: ReplicaUpdate, expired: Callable[[], bool], acknowledged: dict[str, str]
     ) -> bool:
-        """Wait until enough holders have an update on disk; False where one rejects it, or it has expired.
+        """Wait until enough holders have an update on disk; return False if rejected or expired.
 
-        `acknowledged` receives the holders that have it, with the tokens of their incarnations.
+        `acknowledged` receives the holders that stored the update, with the tokens of their incarnations.
         """
         requests = _RepeatedRequests(self.ensemble)
         is_rejected = False
@@ -163,7 +161,8 @@
                 for name in requests.missing:
                     self.write_in_background(update, name)
                 return True
-            # An acknowledgement that does not count is asked for again, of the holder's present incarnation.
+            # An acknowledgement that is no longer valid is discarded, and the update is sent to the holder's
+            # current incarnation again.
             for name in [name for name, token in acknowledged.items() if not self._is_valid(name, token)]:
                 del acknowledged[name]
                 requests.missing.append(name)
@@ -171,13 +170,14 @@
         return False
 
     def has_write_quorum(self, acknowledged: dict[str, str]) -> bool:
-        """Return whether enough holders still have what they acknowledged."""
+        """Return whether enough acknowledgements are still valid."""
         return sum(self._is_valid(*each) for each in acknowledged.items()) >= self.holder_counts.required
 
     def _is_valid(self, name: str, token: str) -> bool:
-        # A holder that has lost its disk since, and its fences with it, would acknowledge what others have
-        # settled as never begun. So what it says of itself counts, and what is known of its record here.
-        return token == self._members.peers[name].recorded_incarnation.token and self._sound(name)
+        # A holder that has lost its disk has also lost its fences, and would acknowledge an operation that
+        # other members have already resolved as never started. An acknowledgement is therefore valid only
+        # from the incarnation recorded here, and only while the holder's record is complete and current.
+        return token == self._members.peers[name].recorded_incarnation.token and self._has_valid_record(name)
 
     def _send(self, name: str, update: ReplicaUpdate, on_reply: ReplyCallback) -> None:
         def request(request_id: int) -> ReplicateRequest:
@@ -190,20 +190,20 @@
                 self._members.incarnation_token,
             )
 
-        if connection := self.lines.get(name):
+        if connection := self.connections.get(name):
             connection.request(request, on_reply)
         else:
             on_reply(None)
 
     def write_in_background(self, update: ReplicaUpdate, *names: str) -> None:
-        """Send holders an update for which nobody waits; all of them if none is named."""
+        """Send an update to the named holders, or to all if none is named, without waiting for replies."""
         for name in names or self.ensemble:
             if self._pending_deliveries < MAX_PENDING_DELIVERIES and self.task_group:
                 self._pending_deliveries += 1
                 self.task_group.start_soon(self._deliver, name, update)
 
     async def _deliver(self, name: str, update: ReplicaUpdate) -> None:
-        """Send an update to one holder until it has stored or rejected it."""
+        """Send an update repeatedly until the holder stores or rejects it."""
         delay = RETRY_INTERVAL
         try:
             while True:
@@ -217,21 +217,20 @@
         finally:
             self._pending_deliveries -= 1
 
-    # ---- replicas of other members' operations --------------------------------------------------------
-
     async def handle_write(self, message: ReplicateRequest) -> MemberMessage:
-        """Store what an owner sends, and acknowledge it once it is on disk."""
+        """Store an owner's update and acknowledge the update once it is on disk."""
         update = ReplicaUpdate(RecordState(message.state), message.operation, message.answer)
         token = self._members.incarnation_token
         peer = self._members.peers.get(message.owner)
         if peer is None or message.incarnation_token != peer.recorded_incarnation.token:
-            # A former incarnation must not hear that its intent is stored: a later one may have been told
-            # that this holder has no record of it. Without a token, the reply counts for nothing.
+            # An earlier incarnation must not receive an acknowledgement of its intent: this holder may have
+            # reported to a later incarnation that it has no record of the operation. A reply without a token
+            # is not a valid acknowledgement.
             return ReplicateReply(message.request_id, False, stored=False)
         while (write := self.store.store(message.owner, update)) is not None:
             await self._sync(write.ticket)
             if not write.retry_after_sync:
-                # A holder whose replicas are not complete yet does not know what is fenced.
+                # A holder whose replicas are not complete yet may lack fences, so the reply carries no token.
                 is_complete = self._scheduler.is_complete(message.owner)
                 return ReplicateReply(message.request_id, False, token if is_complete else "")
         return ReplicateReply(message.request_id, True, token)
@@ -239,10 +238,10 @@
     async def handle_read(
         self, message: FencedRead, is_trusted: Callable[[], bool], incarnation_tokens: dict[str, str]
     ) -> MemberMessage:
-        """Answer what the replicas tell of an operation, fencing it where there is none.
+        """Return the replica's status of an operation, and fence the operation if requested and absent.
 
-        `is_trusted`: whether the reader's incarnation is on disk and this member's record is complete;
-        `incarnation_tokens`: the tokens of the other members' incarnations that are on disk here.
+        `is_trusted` returns whether the reader's incarnation is on disk and this member's record is
+        complete. `incarnation_tokens` has the tokens of the other members' incarnations that are on disk.
         """
         result = self.store.read(message.owner, message.operation)
         status = result.status
@@ -256,18 +255,16 @@
         return StatusReply(message.request_id, statuses, self._members.incarnation_token, incarnation_tokens)
 
     async def _sync(self, ticket: int) -> None:
-        """Wait until a ticket is on disk; while the disk fails, nothing is acknowledged."""
+        """Wait until a ticket is on disk, for as long as writes fail."""
         self._disk.wake()
         await self._disk.wait_written(ticket)
 
-    # ---- fenced reads ---------------------------------------------------------------------------------
-
     async def fenced_read(
         self, owner: str, name: str, fence: bool, timeout: float, is_trusted: Callable[[], bool]
     ) -> OperationResult | None:
-        """Read at an owner's holders what became of an operation, and fence it where they have no record.
+        """Read the outcome of an operation at its owner's holders, and fence the operation if it is absent.
 
-        None where too few holders with authoritative records answer within `timeout` seconds.
+        Returns None if too few holders with authoritative records answer within `timeout` seconds.
         """
         read = _Read(owner, name, fence, is_trusted)
         quorum = self._options.read_quorum(len(self._scheduler.ensembles[owner]))
@@ -277,9 +274,9 @@
                 result = await self._gather(read, answers)
                 if result.status is not OperationStatus.ABSENT or not fence:
                     return result
-                # A holder that was read may have lost its disk before the next one was fenced, and be
-                # complete again without that fence. One that answers the same in the same incarnation had
-                # its fence all the time.
+                # A holder may have lost its disk after it was read and before the next holder was fenced, and
+                # have been restored without its fence. A holder that gives the same answer again in the same
+                # incarnation has had its fence throughout.
                 second_answers: dict[str, _HolderAnswer] = {}
                 result = await self._gather(read, second_answers)
                 if result.status is not OperationStatus.ABSENT:
@@ -293,14 +290,14 @@
         return last_result
 
     async def _gather(self, read: _Read, answers: dict[str, _HolderAnswer]) -> OperationResult:
-        """Read at all holders until their answers resolve; for ever where too few are authoritative."""
+        """Read at all holders until the answers resolve; never return if too few are authoritative."""
         ensemble = self._scheduler.ensembles[read.owner]
         spares = self._spare_holders(read.owner, ensemble)
         requests = _RepeatedRequests([*ensemble, *spares])
 
         def on_reply(holder: str, reply: MemberMessage | None) -> None:
             if isinstance(reply, StatusReply):
-                answers[holder] = self._judge(holder, reply, in_ensemble=holder in ensemble)
+                answers[holder] = self._evaluate_reply(holder, reply, in_ensemble=holder in ensemble)
             requests.finished(holder, isinstance(reply, StatusReply))
 
         def send_to(holder: str) -> None:
@@ -310,31 +307,32 @@
         while True:
             requests.send(send_to)
             result = resolve_outcome((answer.result for answer in answers.values()), quorum)
-            # A holder that missed the end has the intent alone; another one may have the answer.
+            # A holder that missed the end of the operation has only the intent, and another holder may have
+            # the answer.
             is_last = len(answers) == len(ensemble) + len(spares)
             if result is not None and (result.status is not OperationStatus.FAILED or is_last):
                 return result
             await requests.wait()
 
     def _spare_holders(self, owner: str, ensemble: Iterable[str]) -> list[str]:
-        """Members outside the ensemble that may hold an operation in place of a holder that was away."""
+        """Return the live members outside the ensemble that may have replaced an unavailable holder."""
         if not self._options.spare:
             return []
-        return [name for name in self.lines if self._is_alive(name) and name not in (owner, *ensemble)]
+        return [name for name in self.connections if self._is_alive(name) and name not in (owner, *ensemble)]
 
-    def _judge(self, holder: str, reply: StatusReply, in_ensemble: bool) -> _HolderAnswer:
-        """Return a holder's answer, INDETERMINATE where it proves nothing."""
+    def _evaluate_reply(self, holder: str, reply: StatusReply, in_ensemble: bool) -> _HolderAnswer:
+        """Return a holder's answer, with status INDETERMINATE if the reply is not conclusive."""
         status, answer = reply.statuses[0]
         token = reply.incarnation_token
-        is_present = (
+        is_current = (
             holder == self._own_name or self._members.peers[holder].recorded_incarnation.token == token
         )
-        is_proof = is_present or status in (OperationStatus.SERVED.value, OperationStatus.FAILED.value)
-        # A spare holder has what it was given; that it lacks something proves nothing.
+        is_conclusive = is_current or status in (OperationStatus.SERVED.value, OperationStatus.FAILED.value)
+        # A spare holder stores only some operations, so the absence of a record there is not conclusive.
         if not in_ensemble and status == OperationStatus.ABSENT.value:
-            is_proof = False
-        known_status = OperationStatus(status) if is_proof else OperationStatus.INDETERMINATE
-        return _HolderAnswer(OperationResult(known_status, answer), token)
+            is_conclusive = False
+        conclusive_status = OperationStatus(status) if is_conclusive else OperationStatus.INDETERMINATE
+        return _HolderAnswer(OperationResult(conclusive_status, answer), token)
 
     def _send_read(self, read: _Read, holder: str, fence: bool, on_reply: ReplyCallback) -> None:
         def request(request_id: int) -> FencedRead:
@@ -343,7 +341,7 @@
 
         if holder == self._own_name and self.task_group:
             self.task_group.start_soon(self._read_own, request(0), read.is_trusted, on_reply)
-        elif connection := self.lines.get(holder):
+        elif connection := self.connections.get(holder):
             connection.request(request, on_reply)
         else:
             on_reply(None)
@@ -355,7 +353,7 @@
 
 
 def _count_confirmed_absent(first: dict[str, _HolderAnswer], second: dict[str, _HolderAnswer]) -> int:
-    """How many holders answered twice, in the same incarnation, that they have no record."""
+    """Return the number of holders that reported no record in both reads, in the same incarnation."""
     return sum(
         first.get(holder) == answer and answer.result.status is OperationStatus.ABSENT
         for holder, answer in second.items()
