--- a/frostfall/net/anti_entropy.py
+++ b/frostfall/net/anti_entropy.py
@@ -95,9 +95,8 @@
         self._survey = LogSurvey(disk, on_corruption)
         self._server = DigestServer(self._survey, members, monotonic, is_authoritative)
         self._session_numbers = count(1)
-        self._scheduled_tokens: dict[
-            str, str
-        ] = {}  # by peer: token of the incarnation that was last scheduled
+        # By peer: token of the incarnation that was last scheduled.
+        self._scheduled_tokens: dict[str, str] = {}
         self._next_round = 0.0  # seconds of the monotonic clock
         self.restored_operations = 0
         self.received_bytes = 0
--- a/frostfall/net/discovery.py
+++ b/frostfall/net/discovery.py
@@ -64,7 +64,7 @@
         self._auto_restart = auto_restart
         self._requested = anyio.Event()
         self._answer_count = 0
-        self._watching: anyio.CancelScope | None = None
+        self._watch_scope: anyio.CancelScope | None = None
 
     def start_watch(self) -> None:
         """Start the watch if it is not running."""
@@ -74,8 +74,8 @@
         """Restart the watch at another address, beginning with the complete endpoint list."""
         self._address, self._since = address, None
         self._requested.set()
-        if self._watching:
-            self._watching.cancel()
+        if self._watch_scope:
+            self._watch_scope.cancel()
         self._on_interruption(WatchInterruption.MOVED)
 
     def confirm(self) -> None:
@@ -84,8 +84,8 @@
         self._wants_early_answer = True
         self._is_open_call_outdated = True
         self._requested.set()
-        if self._watching:
-            self._watching.cancel()
+        if self._watch_scope:
+            self._watch_scope.cancel()
         self._on_interruption(WatchInterruption.PAUSED)
 
     async def run(self) -> None:
@@ -97,7 +97,7 @@
             await self._requested.wait()
             reason, answers_before = "failed", self._answer_count
             with anyio.CancelScope() as scope:
-                self._watching = scope
+                self._watch_scope = scope
                 self._is_open_call_outdated = False
                 try:
                     reason = await self._watch(scope)
--- a/frostfall/net/log_survey.py
+++ b/frostfall/net/log_survey.py
@@ -20,10 +20,8 @@
 RECORDS_PER_SLICE = 64  # records to read or write before other tasks run
 SLICE_PAUSE = 0.002  # seconds between slices
 RETIRE_POLL_INTERVAL = 0.25  # seconds between checks for the removal of retired segments
-STATES_WITHOUT_END = (
-    RecordState.OPEN,
-    RecordState.OUTCOME_UNKNOWN,
-)  # the log copies these into every new segment
+# Records of these states are copied by the log into every new segment.
+STATES_WITHOUT_END = (RecordState.OPEN, RecordState.OUTCOME_UNKNOWN)
 
 _log = log.get_logger("repair")
 
@@ -111,7 +109,8 @@
         wal = self._disk.wal
         has_ended = state not in STATES_WITHOUT_END
         if has_ended and self._max_age(segment, payload) >= wal.options.keep:
-            return  # otherwise peers could restore expiring records from each other indefinitely
+            # The record is about to expire, and peers could otherwise restore it from each other forever.
+            return
         owner, operation = split_replica_name(decode_name(payload))
         key = TreeKey(owner or wal.owner, state == RecordState.FENCED)
         locations[key][operation_key(operation)] = location
--- a/frostfall/net/replication.py
+++ b/frostfall/net/replication.py
@@ -255,7 +255,7 @@
         return StatusReply(message.request_id, statuses, self._members.incarnation_token, incarnation_tokens)
 
     async def _sync(self, ticket: int) -> None:
-        """Wait until a ticket is on disk, for as long as writes fail."""
+        """Wait until a ticket is on disk, so that nothing is acknowledged while writes fail."""
         self._disk.wake()
         await self._disk.wait_written(ticket)
 
@@ -315,7 +315,7 @@
             await requests.wait()
 
     def _spare_holders(self, owner: str, ensemble: Iterable[str]) -> list[str]:
-        """Return the live members outside the ensemble that may have replaced an unavailable holder."""
+        """Return live members outside the ensemble, which may store operations for an unavailable holder."""
         if not self._options.spare:
             return []
         return [name for name in self.connections if self._is_alive(name) and name not in (owner, *ensemble)]
