--- a/frostfall/net/client_acceptor.py
+++ b/frostfall/net/client_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections from the listening socket, at a bounded pace."""
+"""Accepts clients' connections from the listening socket at a limited rate."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 from frostfall.limits.arrival_pacing import ArrivalPacer, ArrivalRate
 from frostfall.net.streams import LISTEN_BACKLOG, Stream
 
-ACCEPT_RETRY_SECONDS = 0.01  # after an error, or while too many connections wait to be rejected
-MAX_ACCEPTS_PER_TURN = 16  # so that a flood of connections leaves the open ones their turn
-MAX_OVERFLOW_CONNECTIONS = 8  # open at once beyond the bound, to be rejected or being closed
+ACCEPT_RETRY_SECONDS = 0.01  # after an error, or while too many overflow connections are open
+MAX_ACCEPTS_PER_TURN = 16  # so that many new connections do not starve the open ones
+MAX_OVERFLOW_CONNECTIONS = 8  # open above the connection limit, to be rejected or closing
 
 
 class AcceptTarget(Protocol):
-    """Where accepted connections go."""
+    """Receiver of the accepted connections."""
 
     @property
     def overflow_count(self) -> int:
-        """How many connections are open beyond the bound; negative where there is room."""
+        """Number of connections above the limits; negative if capacity is free."""
 
     @property
     def arrival_rate(self) -> ArrivalRate | None:
-        """How fast connections may be accepted; None for no limit."""
+        """Maximum rate of accepting connections; None for no limit."""
 
     def add(self, stream: Stream, source: str) -> None:
-        """Serve a connection that came from this address."""
+        """Serve a connection from address `source`."""
 
     def close_silent(self) -> bool:
-        """Close a connection that has brought nothing; False where there is none."""
+        """Close a connection that has sent no query; False if there is none to close."""
 
     def accept_failed(self, error: OSError) -> None:
-        """Count a failure to accept."""
+        """Count a failed accept."""
 
 
 class ClientAcceptor:
-    """Owns the accept loop of one listening socket."""
+    """Runs the accept loop of one listening socket."""
 
     def __init__(self, listener: socket.socket, target: AcceptTarget) -> None:
-        """Accept from `listener`, which never blocks, for `target`."""
+        """Accept from `listener`, a non-blocking socket, and pass the connections to `target`."""
         self._listener = listener
         self._target = target
         self._pacer = ArrivalPacer()
@@ -56,17 +56,17 @@
             await self._accept_turn()
 
     async def accept_pending(self) -> None:
-        """Accept those connections only that the kernel has accepted already.
+        """Accept only the connections that are already in the kernel's accept queue.
 
-        Under a flow of new ones the queue is never empty; so no more are taken than it holds at a time.
+        As new connections may keep the queue from becoming empty, at most one full queue is accepted.
         """
         last = self._accepted_count + LISTEN_BACKLOG + 1
         while self._accepted_count < last and await self._accept_turn():
             await checkpoint()
 
     async def _accept_turn(self) -> bool:
-        """Accept a turn's worth of connections; False once none is left in the kernel's queue."""
-        # A connection that is closed for room holds its descriptor until its task has had a turn.
+        """Accept one batch of connections; return False once the kernel's accept queue is empty."""
+        # An evicted connection releases its descriptor only when its task next runs.
         while self._target.overflow_count >= MAX_OVERFLOW_CONNECTIONS:
             await anyio.sleep(0 if self._target.close_silent() else ACCEPT_RETRY_SECONDS)
         for _ in range(MAX_ACCEPTS_PER_TURN):
@@ -83,8 +83,8 @@
                 self._target.accept_failed(error)
                 await anyio.sleep(ACCEPT_RETRY_SECONDS)
                 break
-            # A request counts as accepted while its connection still waits in the kernel's queue, so all are
-            # taken from there; without room, the first query is rejected unseen.
+            # A request counts as accepted even while its connection is still in the kernel's queue, so all
+            # connections are accepted. If the limits are reached, the first query is rejected unprocessed.
             self._accepted_count += 1
             with suppress(OSError):
                 self._target.add(Stream(raw), str(address[0]))
--- a/frostfall/net/client_connection.py
+++ b/frostfall/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: bytes and queries in, answers out, until either side ends it."""
+"""Server side of one client's connection: reads queries, writes answers, and closes in order."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 from frostfall.protocol import pg, pg_server
 from frostfall.protocol.pg_server import Closed, Query, Reply, ServerProtocol
 
-IDLE_CLOSE_SECONDS = 2.0  # without an open request, a connection may be closed then, by the protocol
-CHECK_INTERVAL_SECONDS = 0.25  # between checks of a client that owes something or is owed something
-LEAVING_CHECK_SECONDS = 0.04  # between looks whether a client that is not read from has left
-MAX_PENDING_OUTPUT_BYTES = 64 * 1024  # unwritten, beyond which a connection's next query is not looked at
-SMALL_BUFFER_BYTES = 8 * 1024  # a connection may always hold so much unread: little, for all together
+IDLE_CLOSE_SECONDS = 2.0  # the protocol permits closing a connection without an open request after this time
+CHECK_INTERVAL_SECONDS = 0.25  # between checks of a client with a partial query or undelivered output
+LEAVING_CHECK_SECONDS = 0.04  # between checks whether a client whose input is paused has disconnected
+MAX_PENDING_OUTPUT_BYTES = 64 * 1024  # with more output unwritten, no further query is processed
+# Input that a connection may buffer even when the total limit is exceeded; small enough for all connections.
+SMALL_BUFFER_BYTES = 8 * 1024
 
 _numbers = count(1)
 _log = log.get_logger("clients")
@@ -42,20 +43,20 @@
         is_overflow: bool = False,
         source: str = "",
     ) -> None:
-        """Serve a stream that was accepted from address `source`.
+        """Prepare to serve a stream that was accepted from address `source`.
 
-        An overflow connection is beyond the bound: unless promoted, its first query is rejected.
+        An overflow connection exceeds the connection limit: unless promoted, its first query is rejected.
         """
         super().__init__()
-        self.number = next(_numbers)  # names the connection in the log
+        self.number = next(_numbers)  # identifies the connection in the log
         self.is_overflow = is_overflow
         self.source = source
         self.progress = ConnectionProgress()
         self.opened_at = monotonic()
-        self.last_used_at = self.opened_at  # when it last brought something or was answered
-        self.request: str | None = None  # id of the request that waits for its answer
+        self.last_used_at = self.opened_at  # monotonic seconds of the last input or answer
+        self.request: str | None = None  # id of the request that awaits its answer
         self.draining = is_overflow
-        self.buffered_bytes = 0  # unread, as accounted for by the owner
+        self.buffered_bytes = 0  # unprocessed input, as recorded by the owner
         self._stream = stream
         self._handler = handler
         self._owner = owner
@@ -67,16 +68,16 @@
         self._scope = anyio.CancelScope()
         self._input_scope = anyio.CancelScope()  # ends when the connection begins to close
         self._processing = False
-        self._disconnected = False  # the client has gone, or was given up
-        self._closing = False  # the connection ends once its output is delivered
-        self._close_reason: CloseReason | None = None  # why it is closing, or is to close once it is idle
+        self._disconnected = False  # the client has disconnected, or the connection was aborted
+        self._closing = False  # the connection closes once its output is delivered
+        self._close_reason: CloseReason | None = None  # reason for closing, now or once the connection is idle
         self._monitored_since = owner.monitor.now
-        self._has_queried = False  # a whole query has come
+        self._has_queried = False  # a whole query has been received
         self._was_answered = False
         owner.monitor.schedule(self, IDLE_CLOSE_SECONDS)
 
     async def run(self) -> None:
-        """Serve until either side ends it."""
+        """Serve the connection until either side closes it."""
         if self._pending.trace.enabled:
             self._pending.trace.record(Step.CONNECTED, connection=self.number, source=self.source)
         try:
@@ -89,7 +90,7 @@
             self._end()
 
     def _end(self) -> None:
-        """Release all that the connection holds; what is still owed is answered first."""
+        """Release the connection's resources, after sending final answers to pending queries."""
         if not self._disconnected:
             if not self._closing:
                 self._close_reason = CloseReason.FAULT
@@ -103,46 +104,42 @@
             self._pending.trace.record(Step.CLOSED, connection=self.number, reason=self._close_reason.value)
 
     def _answer_remaining(self) -> None:
-        """Answer what was read, as far as the kernel takes it: the connection ends before its time."""
+        """Send final answers to the queries already read, as far as the kernel accepts the data."""
         try:
             if self._machine.busy:
                 self.answer(pg_server.failure_answer())
             while isinstance(self._machine.next_event(), Query):
                 self._pending.accept(self)
                 self.answer(pg_server.rejection_answer(0))
-        except Exception:  # a fault must not keep the stream from being closed
+        except Exception:  # the stream has to be closed in spite of an error here
             _log.exception("last answers failed", connection=self.number)
 
-    # ---- state -------------------------------------------------------------------------------------
-
     @property
     def idle(self) -> bool:
-        """Whether no answer is owed and no query half read."""
+        """True if no query is pending or partly read and the connection is not closing."""
         return not (self._machine.busy or self._machine.buffered or self._closing)
 
     @property
     def closing(self) -> bool:
-        """Whether the connection ends once its output is delivered."""
+        """True if the connection closes as soon as its output is delivered."""
         return self._closing
 
     @property
     def can_close(self) -> bool:
-        """Whether it is idle and may be closed before its time."""
-        # A client sends a request that crossed a close once more, but not twice. Closed before its first
-        # answer, the connection that carries the second copy would lose the request.
+        """True if the connection is idle and may be closed before its idle timeout."""
+        # A client resends a request that crossed a close once, but not twice. If the connection with the
+        # second copy were also closed before its first answer, the request would be lost.
         return self.idle and (self._was_answered or monotonic() - self.opened_at > IDLE_CLOSE_SECONDS)
 
     @property
     def _is_throttled(self) -> bool:
-        """Whether so much waits to be written that no further query is looked at."""
+        """True if too much output is unwritten to process a further query."""
         return len(self._output) > MAX_PENDING_OUTPUT_BYTES or (
             bool(self._output) and self._owner.slow_peers.budget.saturated
         )
 
-    # ---- orders ------------------------------------------------------------------------------------
-
     def answer(self, data: bytes) -> None:
-        """Give the final answer to the query that waits; the next one is then read."""
+        """Send the final answer to the pending query; processing of the next query can then start."""
         self.request = None
         self._was_answered = True
         self.last_used_at = monotonic()
@@ -157,20 +154,20 @@
         self._owner.mark_idle(self)
 
     def drain(self) -> None:
-        """End once the answer is given, or at once where it may be closed."""
+        """Close after the pending answer, or immediately if `can_close`."""
         self.draining = True
         if self.can_close:
             self.begin_close(CloseReason.DRAINED)
 
     def begin_close(self, reason: CloseReason = CloseReason.NEEDED_ROOM) -> None:
-        """End at once where no answer is owed; what has come by now is still answered."""
+        """Close immediately if no answer is pending; queries received so far are answered first."""
         self.draining = True
         self._close_reason = self._close_reason or reason
         if not (self._machine.busy or self._machine.buffered or self._stream.has_input):
             self._begin_closing(reason)
 
     def finish(self) -> None:
-        """End now; what was read is answered, a query half read is rejected, and nothing more is read."""
+        """Close now: answer the queries already read, reject a partly read query, and read no further."""
         self.draining = True
         if self._closing or self._disconnected or self._machine.closed:
             return
@@ -185,22 +182,23 @@
         self._begin_closing(CloseReason.SHUTDOWN)
 
     def cut_off(self) -> None:
-        """End without waiting for a client that does not take its last bytes."""
+        """Close without waiting for the client to read its remaining output."""
         self._pending.may_close(self)
         self._abort(CloseReason.SHUTDOWN)
 
     def shed(self, reason: ShedReason) -> None:
-        """Drop the client without a message, as nothing reaches it in time."""
+        """Disconnect the client without a message, which would not reach it in time."""
         self._owner.slow_peers.shed_counter.record(reason, self.source)
         self._owner.slow_peers.budget.release(self)
-        # Without a reset the kernel would hold the unread bytes until its own timeouts, minutes later.
+        # Without a reset, the kernel would retain the unread bytes until its own timeouts, for minutes.
         self._stream.reset_on_close()
         self._abort(CloseReason.CLIENT_READS_TOO_SLOWLY)
 
-    # ---- the monitor's checks ----------------------------------------------------------------------
-
     def check(self, now: float) -> float | None:
-        """Judge how the client reads and sends; the only place where connections end for either."""
+        """Check how fast the client reads and sends, and close the connection if it is too slow.
+
+        Connections are closed for these reasons only here. Returns the seconds until the next check, or None.
+        """
         if self._disconnected or not self._owner.is_open(self):
             return None
         unread_by_client = len(self._output)
@@ -228,13 +226,13 @@
             self._owner.enforce_buffer_limits(self)
 
     def _output_expired(self, now: float) -> bool:
-        """Whether output waits so long that nobody needs it; never where a minimum rate is set."""
+        """Return whether output has been blocked too long to be useful; False if a minimum rate is set."""
         if self._owner.slow_peers.options.clients.reading_rate(self.progress.class_name):
             return False
         return now - self._output.waiting_since > self._owner.max_request_seconds
 
     def _check_sending(self, now: float) -> float | None:
-        """Judge a client that owes a query, or the rest of one; seconds until the next check, if any."""
+        """Check a client without a whole query so far; return the seconds until the next check, or None."""
         detector, partial_since = self._owner.slow_peers, self.progress.partial_since
         if partial_since is not None and detector.options.clients.sending:
             reason = detector.check_client_sending(self.progress, now)
@@ -255,10 +253,8 @@
                 self._reject(pg.MalformedReason.SILENT)
         return None
 
-    # ---- output ------------------------------------------------------------------------------------
-
     def _abort(self, reason: CloseReason) -> None:
-        """End at once: the client has gone, or takes nothing, so that nothing is owed to it any more."""
+        """Close immediately and discard pending answers, as the client has disconnected or does not read."""
         if self._disconnected:
             return
         self._disconnected = True
@@ -267,13 +263,13 @@
         self._scope.cancel()
 
     def _reject(self, why: pg.MalformedReason, text: str | None = None) -> None:
-        """End the connection of a client that does not speak the protocol, with a last error."""
+        """Send a final error to a client that violates the protocol, and close the connection."""
         self._owner.malformed_counts[text or why.value] += 1
         self._send(self._machine.close_malformed(why, text).data)
         self._begin_closing(CloseReason.SILENT if why is pg.MalformedReason.SILENT else CloseReason.MALFORMED)
 
     def _reject_query(self, fault: str) -> None:
-        """Answer a query that cannot be served, and end the connection behind what was read with it."""
+        """Answer a malformed query with an error, and close after answering the queries read with it."""
         self._machine.mark_answered()
         self._pending.answered(self)
         if not self._machine.buffered:
@@ -285,7 +281,7 @@
         self._send(pg_server.malformed_query_answer(fault))
 
     def _send(self, data: bytes) -> None:
-        """Write data, or queue what the kernel does not take."""
+        """Write data, or queue the part that the kernel does not accept."""
         if self._disconnected or not data:
             return
         self.progress.bytes_written += len(data)
@@ -300,15 +296,15 @@
             self._owner.monitor.schedule(self, CHECK_INTERVAL_SECONDS)
             self._owner.start_soon(self._flush)
         if self._output and self._owner.slow_peers.options.waiting:
-            # At once: by the next check, many connections could have queued far more than the budget.
+            # Enforced now: by the next check, many connections could have queued far more than the budget.
             self._owner.slow_peers.record_buffered(self, self.source, len(self._output))
             self._owner.enforce_buffer_limits(self)
 
     def _begin_closing(self, reason: CloseReason) -> None:
-        """Read nothing more, and end the connection behind its output: the one place where closing begins.
+        """Stop reading, and close the connection after its output; every orderly close starts here.
 
-        The client is told by the end of the output. What it sends from then on is never read, and sent once
-        more elsewhere by the client, as the protocol has it.
+        The end of the output notifies the client. Data that it sends afterwards is never read; the protocol
+        requires the client to resend it on another connection.
         """
         if self._closing or self._disconnected:
             return
@@ -326,32 +322,30 @@
             await self._process_buffered()
         except STREAM_ERRORS:
             self._abort(CloseReason.BROKEN)
-        except Exception:  # a fault in one connection must not end the others
+        except Exception:  # an error in one connection must not end the others
             self._end_after_fault()
 
     async def _process_buffered_aside(self) -> None:
         try:
             await self._process_buffered()
-        except Exception:  # a fault in one connection must not end the others
+        except Exception:  # an error in one connection must not end the others
             self._end_after_fault()
 
     def _end_after_fault(self) -> None:
-        """End this connection; its own task answers what is owed on it."""
+        """Cancel this connection's own task, which sends the final answers to pending queries."""
         _log.exception("connection failed", connection=self.number)
         self._close_reason = CloseReason.FAULT
         self._scope.cancel()
 
-    # ---- input -------------------------------------------------------------------------------------
-
     async def _read(self) -> None:
-        """Read until the connection is to end, or the client has gone."""
+        """Read until the connection closes or the client disconnects."""
         while not (self._machine.closed or self._closing or self._disconnected):
             if self._machine.buffered > pg.MAX_READ_BYTES and (self._machine.busy or self._output):
-                await self._wait_until_caught_up()  # a client that pipelines waits for its answers
+                await self._wait_until_caught_up()  # backpressure on a client that pipelines queries
                 continue
             try:
                 await self._stream.wait_readable()
-                if self._closing:  # begun while this task was about to run: what has come stays unread
+                if self._closing:  # set while this task was about to run; the received data stays unread
                     return
                 data = self._stream.read()
             except anyio.EndOfStream:
@@ -371,7 +365,7 @@
         machine = self._machine
         is_partial = machine.buffered and not (machine.busy or self._is_throttled or machine.closed)
         if is_partial and machine.buffered > SMALL_BUFFER_BYTES and self._owner.memory_exceeded:
-            # a query half read was not accepted, so it may be rejected
+            # A partly read query has not been accepted, so that it may be rejected.
             machine.close_malformed(pg.MalformedReason.OVERSIZE)
             self._send(pg_server.rejection_answer(0))
             self._begin_closing(CloseReason.OVERSIZE)
@@ -379,7 +373,10 @@
             self.begin_close(CloseReason.DRAINED)
 
     async def _wait_until_caught_up(self) -> None:
-        """Wait for the answers of what was read ahead; the client's end may stand behind what is unread."""
+        """Wait until pending output or the pending answer is sent, or the client has disconnected.
+
+        A disconnection is checked separately, as unread input can precede the end of the stream.
+        """
         with anyio.move_on_after(LEAVING_CHECK_SECONDS):
             if self._output:
                 await self._output.wait_flushed()
@@ -390,13 +387,13 @@
             self._abort(CloseReason.CLIENT_LEFT)
 
     async def _process_buffered(self) -> None:
-        """Handle the messages that have come, a turn's worth at a time."""
+        """Handle the buffered messages, one time slice after another."""
         while not self._disconnected and self._process_turn():
             await checkpoint()
 
     def _process_turn(self) -> bool:
-        """Handle the next messages; whether there may be more that can be handled now."""
-        if self._processing:  # a query may be answered at once, from inside this loop
+        """Handle one time slice of messages; return whether more may be ready to be handled."""
+        if self._processing:  # reentrant call: a query can be answered inside this loop
             return False
         self._processing = True
         self._deficit.add_quantum()
@@ -414,7 +411,7 @@
             self._track_partial_query()
 
     def _track_partial_query(self) -> None:
-        """Keep since when a query is half read, by which the client's sending is judged."""
+        """Record the time since which a query is partly read, for the checks of the client's sending rate."""
         is_partial = self._machine.buffered and not (self._machine.busy or self._closing or self._output)
         if is_partial and self.progress.partial_since is None:
             self.progress.partial_since = self._owner.monitor.now
--- a/frostfall/net/client_interfaces.py
+++ b/frostfall/net/client_interfaces.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of others: a handler of its queries, and the set that owns it."""
+"""Interfaces that a client's connection uses: the handler of its queries and its owner."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class QueryHandler(Protocol):
-    """What a connection hands its queries to."""
+    """Receiver of a connection's queries."""
 
     def handle_query(self, client: ClientConnection, text: bytes) -> str | None:
-        """Accept a query, or say why it is malformed."""
+        """Accept a query, or return why it is malformed."""
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """The connection has ended; no answer is owed to it any more."""
+        """Discard the pending request of a connection that has ended."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the set of connections that it belongs to."""
+    """The set of connections to which a connection belongs."""
 
     slow_peers: SlowPeerDetector[ClientConnection]
     monitor: ConnectionMonitor
@@ -35,32 +35,32 @@
 
     @property
     def memory_exceeded(self) -> bool:
-        """Whether all connections together hold more unread than there is memory for."""
+        """True if the unprocessed input of all connections exceeds its limit."""
 
     @property
     def is_full(self) -> bool:
-        """Whether there is no room for one more connection."""
+        """True if no further connection fits into the limits."""
 
     def start_soon(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a task beside the connection's own."""
+        """Run a task in addition to the connection's own task."""
 
     def is_open(self, client: ClientConnection) -> bool:
-        """Whether the connection is in the set."""
+        """Return whether the connection is in the set."""
 
     def update_buffered(self, client: ClientConnection, buffered_bytes: int) -> None:
-        """Account for the bytes that the connection holds unread."""
+        """Record the number of bytes of input that the connection has not processed."""
 
     def enforce_buffer_limits(self, client: ClientConnection) -> None:
-        """Shed connections for which too much waits to be written."""
+        """Shed connections until buffered output is within limits, after `client`'s output has changed."""
 
     def mark_active(self, client: ClientConnection) -> None:
-        """The connection has brought a query."""
+        """Record that the connection has sent a query."""
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """The connection's query has been answered."""
+        """Record that the connection's query has been answered."""
 
     def mark_closing(self, client: ClientConnection) -> None:
-        """The connection is about to end."""
+        """Record that the connection is closing."""
 
     def promote(self, client: ClientConnection) -> bool:
-        """Give an overflow connection the place of a silent one; False where there is none."""
+        """Evict a silent connection and serve the overflow connection instead; False if none is silent."""
--- a/frostfall/net/client_output.py
+++ b/frostfall/net/client_output.py
@@ -1,4 +1,4 @@
-"""The output half of a client's connection: what waits for the kernel, and the end of the delivery."""
+"""Output side of a client's connection: buffers data for the kernel and awaits its delivery."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from frostfall.net.connection_monitor import ConnectionMonitor
 from frostfall.net.streams import SHORTAGE_PAUSE_SECONDS, Stream
 
-DELIVERY_POLL_SECONDS = 0.01  # between looks at whether the last bytes have reached the client
-CLOSE_LINGER_SECONDS = 0.25  # for a client whose next bytes crossed the end, to close first
+DELIVERY_POLL_SECONDS = 0.01  # between checks whether the last bytes have reached the client
+CLOSE_LINGER_SECONDS = 0.25  # time for a client that sent data after the end of the output to close first
 
 
 class OutputOwner(Protocol):
-    """What the output needs of its connection's owner."""
+    """The part of the connection's owner that the output uses."""
 
     monitor: ConnectionMonitor
     max_request_seconds: float
 
     @property
     def is_full(self) -> bool:
-        """Whether there is no room for one more connection."""
+        """True if no further connection fits into the limits."""
 
 
 class ClientOutput:
-    """Writes to one stream; a write fails with one of STREAM_ERRORS once the connection is broken."""
+    """Buffers and writes output to one stream; writes raise one of STREAM_ERRORS on a broken connection."""
 
     def __init__(self, stream: Stream, owner: OutputOwner, piece_bytes: Callable[[], int]) -> None:
-        """Write what waits in pieces of `piece_bytes`, so that one client does not hold up the others."""
-        self.waiting_since = 0.0  # the monitor's time since when nothing of what waits was taken
+        """Write buffered data in chunks of `piece_bytes`, so that one client does not delay the others."""
+        self.waiting_since = 0.0  # monitor's time at which the kernel last accepted buffered data
         self._stream = stream
         self._owner = owner
         self._piece_bytes = piece_bytes
-        self._waiting = bytearray()  # what the kernel has not taken yet
+        self._waiting = bytearray()  # data that the kernel has not accepted yet
         self._flushed = anyio.Event()
         self._ends = False
 
     def __len__(self) -> int:
-        """How many bytes the kernel has not taken yet."""
+        """Return the number of bytes that the kernel has not accepted yet."""
         return len(self._waiting)
 
     def write(self, data: bytes) -> bool:
-        """Write data, or keep what the kernel does not take; whether it has to be flushed from now on."""
+        """Write data, or buffer the part that the kernel does not accept; return True to request `flush`."""
         if self._waiting:
             self._waiting += data
             return False
@@ -57,20 +57,20 @@
         return True
 
     def end(self) -> None:
-        """End the output behind what waits; the client reads all of it, and then the end."""
+        """End the output after the buffered data; the client reads all of it and then the end."""
         self._ends = True
         if not self._waiting:
             self._stream.shutdown_write()
 
     async def flush(self) -> None:
-        """Write what waits, as the client reads it."""
+        """Write the buffered data as the client reads it, then end the output if `end` was called."""
         try:
             while self._waiting:
                 await self._stream.wait_writable()
                 if written := self._stream.write(self._waiting[: self._piece_bytes()]):
                     del self._waiting[:written]
                     self.waiting_since = self._owner.monitor.now
-                else:  # writable, and yet nothing was taken: the kernel is short of memory
+                else:  # writable, but no byte was accepted: the kernel lacks memory
                     await anyio.sleep(SHORTAGE_PAUSE_SECONDS)
             if self._ends:
                 self._stream.shutdown_write()
@@ -78,23 +78,23 @@
             self._flushed.set()
 
     async def wait_flushed(self) -> None:
-        """Wait until the kernel has taken all, or the connection is broken."""
+        """Wait until the kernel has accepted all data or the connection is broken."""
         if self._waiting:
             await self._flushed.wait()
 
     async def wait_delivered(self) -> None:
-        """Once ended: wait until all has reached the client, and a moment more for it to close first."""
-        # A close with bytes unread is a reset, and output that the kernel still holds is lost with it.
+        """Wait after `end` until the client has received all data and, briefly, for it to close first."""
+        # Closing with unread input resets the connection, which discards output still in the kernel.
         give_up_at = monotonic() + self._owner.max_request_seconds
         await self.wait_flushed()
         while self._stream.unacknowledged_bytes and monotonic() < give_up_at:
-            # An acknowledgement may take 40 ms, in which a crowd would hold all descriptors; when full, bytes
-            # that were sent once are left to the network.
+            # An acknowledgement may take 40 ms, in which many connections could occupy all descriptors. When
+            # the limits are reached, bytes that were sent once are not waited for any longer.
             if self._stream.peer_has_closed or (self._owner.is_full and not self._stream.unsent_bytes):
                 return
             await anyio.sleep(DELIVERY_POLL_SECONDS)
-        # Bytes that crossed the end of the output turn the close into a reset: a client is given time to read
-        # its last answer and to close first.
+        # Data that the client sent before it saw the end of the output turns the close into a reset. Waiting
+        # lets the client read its last answer and close first.
         linger_until = min(monotonic() + CLOSE_LINGER_SECONDS, give_up_at)
         while self._stream.has_input and not self._stream.peer_has_closed and monotonic() < linger_until:
             if self._owner.is_full:
--- a/frostfall/net/clock.py
+++ b/frostfall/net/clock.py
@@ -1,4 +1,4 @@
-"""The agent's clock and its queue of timers."""
+"""The agent's clock and its timer queue."""
 
 from __future__ import annotations
 
@@ -11,44 +11,47 @@
 
 
 class Clock:
-    """Unix time in microseconds, anchored once and advanced by the monotonic clock: it never goes back."""
+    """Unix time in microseconds, read once at the start and advanced by the monotonic clock.
+
+    The clock never goes back, even if the system's wall clock does.
+    """
 
     def __init__(
         self, wall: Callable[[], int] = time.time_ns, steady: Callable[[], int] = time.monotonic_ns
     ) -> None:
-        """Anchor the clock; `wall` and `steady` give nanoseconds."""
+        """Read the wall clock once; `wall` and `steady` return nanoseconds."""
         self._monotonic_ns = steady
         self._offset = wall() - steady()
 
     def now(self) -> int:
-        """Microseconds of Unix time, which all agents share."""
+        """Return microseconds of Unix time, which are comparable among agents."""
         return (self._monotonic_ns() + self._offset) // 1000
 
 
 class TimerQueue:
-    """Timers in a heap, which one task waits on."""
+    """Timers in a heap, served by one task."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no timer set."""
+        """Start without timers."""
         self._clock = clock
         self._heap: list[tuple[int, int, str]] = []
         self._order = count()
         self._wake = anyio.Event()
-        self.max_lateness = 0  # microseconds, since this was last reset
+        self.max_lateness = 0  # largest delay of a timer in microseconds, since this field was last reset
 
     def __len__(self) -> int:
-        """How many timers are set."""
+        """Return the number of timers that are set."""
         return len(self._heap)
 
     def schedule(self, delay: int, token: str) -> None:
-        """Fire a token after a delay in microseconds."""
+        """Set a timer that fires `token` after `delay` microseconds."""
         due = self._clock.now() + max(delay, 0)
         if not self._heap or due < self._heap[0][0]:
             self._wake.set()
         heapq.heappush(self._heap, (due, next(self._order), token))
 
     async def run(self, fire: Callable[[str], None]) -> None:
-        """Call `fire` with each token as it comes due, in order."""
+        """Call `fire` with each token when it is due, in order, until cancelled."""
         while True:
             self._wake = anyio.Event()
             now = self._clock.now()
--- a/frostfall/net/endpoints.py
+++ b/frostfall/net/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the agent uses it: the address of each server that may be sent to."""
+"""The agent's endpoint list: the address of each server that may receive requests."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class EndpointList:
-    """Addresses by server id, as of the last list or change that was applied."""
+    """Addresses by server id, according to the last list or delta that was applied."""
 
     def __init__(self) -> None:
-        """Start with no server known."""
+        """Start with an empty list."""
         self._addresses: dict[int, Address] = {}
 
     def __len__(self) -> int:
-        """How many servers have a usable address."""
+        """Return the number of servers with a usable address."""
         return len(self._addresses)
 
     def address_of(self, server: int) -> Address | None:
-        """Where a server listens; None for one that is not listed or whose address is unusable."""
+        """Return a server's address, or None if it is not listed or its address is invalid."""
         return self._addresses.get(server)
 
     @property
     def by_server(self) -> Mapping[int, Address]:
-        """All usable addresses, by server id."""
+        """All usable addresses by server id."""
         return self._addresses
 
     def apply(self, listing: EndpointListUpdate, kind: api.ServerListKind) -> api.ServerListUpdated:
-        """Adopt a list, or a change of one with `DELTA`; the event that reports it to the engine."""
+        """Apply a whole list, or a change with `DELTA`; return the event that reports it to the engine."""
         event = endpoint_adapter.to_list_update(listing, kind)
         if kind is not api.ServerListKind.DELTA:
             self._addresses.clear()
@@ -44,6 +44,6 @@
                 continue
             try:
                 self._addresses[server.id] = parse_address(entry.host_port, entry.instance_id)
-            except ConfigError as error:  # attempts to this server end as unreachable
+            except ConfigError as error:  # without an address, attempts to this server end as unreachable
                 _log.warning("unusable address", why=str(error))
         return event
--- a/frostfall/net/pending_reply.py
+++ b/frostfall/net/pending_reply.py
@@ -1,4 +1,4 @@
-"""A reply of another member that a task waits for."""
+"""A reply from another member that a task awaits."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class PendingReply:
-    """Joins the callback of `MemberConnection.request` to a task that waits."""
+    """Passes the reply from the callback of `MemberConnection.request` to a waiting task."""
 
     def __init__(self) -> None:
-        """Begin without a reply."""
+        """Start without a reply."""
         self._message: MemberMessage | None = None
         self._arrived = anyio.Event()
 
     def resolve(self, message: MemberMessage | None) -> None:
-        """Take the reply, the first one only; None where the connection was lost, or there is none."""
+        """Set the reply and ignore later ones; None if the connection was lost or no reply will follow."""
         if not self._arrived.is_set():
             self._message = message
             self._arrived.set()
 
     async def wait(self) -> MemberMessage | None:
-        """Wait for the reply; None where none will come."""
+        """Wait for the reply; None if none will arrive."""
         await self._arrived.wait()
         return self._message
--- a/frostfall/net/upstream_connection.py
+++ b/frostfall/net/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream server, and one attempt of a request that goes over it."""
+"""A connection to an upstream server, and an attempt of a request that is sent over it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
 from frostfall.protocol.pg_client import ClientProtocol, ConnectionState
 
-USER = "web"  # servers accept any user
+USER = "web"  # servers accept any user name
 DATABASE = "orders"
 
 
@@ -30,30 +30,30 @@
         slow_peers: SlowPeerDetector[Any],
         monitor: ConnectionMonitor,
     ) -> None:
-        """Speak to the server at `address` over `stream`."""
+        """Use `stream`, which is connected to the server at `address`."""
         super().__init__()
         self.address = address
         self.stream = stream
         self.machine = ClientProtocol(USER, DATABASE)
         self.progress = ConnectionProgress()
         self.idle_since = 0  # microseconds of Unix time
-        self.attempt: UpstreamAttempt | None = None  # the one in flight
-        self.unwritten_bytes = 0  # of its query, not yet taken by the kernel
+        self.attempt: UpstreamAttempt | None = None  # attempt in flight
+        self.unwritten_bytes = 0  # bytes of the current query that the kernel has not accepted yet
         self._slow_peers = slow_peers
         self._monitor = monitor
 
     @property
     def usable(self) -> bool:
-        """Whether nothing has come on it since its last answer, not even its end."""
+        """True if nothing was received since the last answer, not even the end of the stream."""
         return self.machine.reusable and self.stream.is_quiet
 
     @property
     def is_answered(self) -> bool:
-        """Whether no answer is awaited on it: none was asked for, or it has come."""
+        """True if no answer is pending: no query was sent, or its answer has been received."""
         return self.machine.state in (ConnectionState.READY, ConnectionState.ANSWER_RECEIVED)
 
     def check(self, now: float) -> float | None:
-        """Judge how the server takes the query and sends the answer; None between attempts."""
+        """Check how fast the server reads the query and sends the answer; None between attempts."""
         if self.attempt is None:
             return None
         reason = self._slow_peers.check_server_reading(
@@ -70,13 +70,13 @@
         return None
 
     def note_timeout(self, attempt: UpstreamAttempt) -> None:
-        """Count the end of an attempt's time against a server that was sending too slowly until then."""
+        """Mark a timed-out attempt as stalled, and count it, if the server was sending its answer slowly."""
         if self._slow_peers.ended_within_response(self.progress, self._monitor.now):
             attempt.abort_stalled(ShedReason.SERVER_SENDS_SLOWLY)
             self._slow_peers.shed_counter.record(ShedReason.SERVER_SENDS_SLOWLY, str(self.address))
 
     async def open(self) -> None:
-        """Exchange the start-up messages; the machine is READY if the server accepts."""
+        """Exchange the startup messages; the protocol state is READY if the server accepts."""
         await self.stream.send(self.machine.startup_message)
         while self.machine.state is ConnectionState.STARTING:
             self.machine.feed(await self.stream.receive())
@@ -84,7 +84,7 @@
     async def exchange(
         self, attempt: UpstreamAttempt, get_statement: Callable[[], bytes | None]
     ) -> AttemptResult:
-        """Write a query and read its answer; `get_statement` gives None where it must not go out."""
+        """Write a query and read its answer; `get_statement` returns None if it must not be sent."""
         machine, progress = self.machine, self.progress
         self.attempt = attempt
         attempt.progress, progress.partial_since = AttemptProgress.NOT_WRITTEN, None
@@ -119,8 +119,9 @@
             self._monitor.schedule(self, TICK_SECONDS)
 
     async def _write(self, attempt: UpstreamAttempt, data: bytes) -> None:
-        # What the kernel has taken may still arrive after everything that is done here. Only a query of which
-        # some byte was never handed over has provably not run; a write that fails has handed over nothing.
+        # Data that the kernel has accepted may still arrive, even if the connection is closed afterwards. A
+        # query has provably not run only if at least one of its bytes was never passed to the kernel; a write
+        # that fails has passed none.
         while self.unwritten_bytes:
             if self.unwritten_bytes < len(data):
                 await self.stream.wait_writable()
@@ -133,14 +134,14 @@
 
 
 class UpstreamAttempt:
-    """One attempt in flight, and how far it has come."""
+    """An attempt in flight and its progress."""
 
     def __init__(self, class_name: str = "", on_degraded: Callable[[], None] = lambda: None) -> None:
-        """`on_degraded` is called once, if the server turns slow in the middle of this attempt."""
+        """Begin without a connection; `on_degraded` is called once if the server becomes slow."""
         self.class_name = class_name
         self.progress = AttemptProgress.NO_CONNECTION
-        self.written_at = 0  # microseconds of the clock, once its first byte may go out
-        self.outcome: Outcome | None = None  # once it has ended
+        self.written_at = 0  # microseconds of Unix time at which the first byte may be written
+        self.outcome: Outcome | None = None  # set when the attempt has ended
         self.cancelled = False
         self.degraded = False
         self.stall_reason: ShedReason | None = None
@@ -148,24 +149,24 @@
         self._on_degraded = on_degraded
 
     def cancel(self) -> None:
-        """Stop waiting; the connection closes."""
+        """Cancel the attempt, which closes its connection."""
         self.cancelled = True
         self.scope.cancel()
 
     def mark_degraded(self) -> None:
-        """Report the server as slow so far; the attempt goes on, but others should go elsewhere."""
+        """Report once that the server is slow; the attempt continues, but others should avoid the server."""
         if not self.degraded:
             self.degraded = True
             self._on_degraded()
 
     def abort_stalled(self, reason: ShedReason) -> None:
-        """Stop waiting, as the server is too slow; the connection closes."""
+        """Abort the attempt because the server is too slow, which closes its connection."""
         self.mark_degraded()
         self.stall_reason = reason
         self.scope.cancel()
 
     def interrupted_ending(self) -> AttemptResult:
-        """The ending of an attempt whose scope has ended it."""
+        """Return the result of an attempt that was cancelled, was aborted as stalled or timed out."""
         return AttemptResult(
             self.progress,
             cancelled=self.cancelled,
--- a/frostfall/net/upstream_pool.py
+++ b/frostfall/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to upstream servers: opened on demand, reused, and closed when idle for long."""
+"""Pool of connections to upstream servers: opens them on demand, reuses them, and closes idle ones."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
 from frostfall.protocol.pg_client import ConnectionState, ErrorAnswer
 
-IDLE_TIMEOUT_FRACTION = 0.75  # of the settings' timeout, at which the server closes or even before
-SOCKET_POLL_SECONDS = 0.005  # between looks for a free socket; answers take some tens of these
-REUSE_DELAY_MICROS = 20_000  # after an answer: a second one would come some milliseconds late
+IDLE_TIMEOUT_FRACTION = 0.75  # of the timeout in the settings; servers close at that timeout or earlier
+SOCKET_POLL_SECONDS = 0.005  # between checks for a free socket; answers take tens of times as long
+REUSE_DELAY_MICROS = 20_000  # after an answer; a faulty second answer would follow within milliseconds
 SWEEP_INTERVAL_SECONDS = 1.0  # between sweeps of idle connections; well below any idle timeout
 
 _log = log.get_logger("appliances")
 
 
 class UpstreamPool:
-    """Owns all connections to upstream servers and runs the attempts over them."""
+    """Owns all connections to upstream servers and runs attempts over them."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         slow_peers: SlowPeerDetector[Any] | None = None,
         monitor: ConnectionMonitor | None = None,
     ) -> None:
-        """Open as many connections as there are sockets; `monitor` has to be run by the caller."""
+        """Open connections within the limit of `sockets`; the caller has to run `monitor`."""
         self.sockets = sockets
         self._slow_peers = slow_peers or SlowPeerDetector[Any]()
         self._monitor = ConnectionMonitor() if monitor is None else monitor
@@ -49,16 +49,14 @@
         self._idle: defaultdict[Address, list[UpstreamConnection]] = defaultdict(list)
 
     def __len__(self) -> int:
-        """How many connections are open or being opened."""
+        """Return the number of connections that are open or being opened."""
         return self._count
 
     @property
     def idle_count(self) -> int:
-        """How many connections wait for a request."""
+        """Number of idle connections."""
         return sum(map(len, self._idle.values()))
 
-    # ---- attempts ----------------------------------------------------------------------------------
-
     async def run_attempt(
         self,
         attempt: UpstreamAttempt,
@@ -67,14 +65,14 @@
         deadline: int,
         on_end: Callable[[AttemptResult], None],
     ) -> None:
-        """Carry one attempt through and report its end, exactly once; the connection returns to the pool.
+        """Run one attempt and pass its result to `on_end` exactly once; the connection returns to the pool.
 
-        `get_statement` is called just before the first byte is written; with None the attempt is withdrawn.
+        `get_statement` is called just before the first byte is written; if it returns None, nothing is sent.
         `deadline` is in microseconds of Unix time.
         """
         try:
             await self._run_attempt(attempt, address, get_statement, deadline, on_end)
-        except Exception:  # a task boundary: the other attempts go on
+        except Exception:  # an error in one attempt must not end the others
             _log.exception("end of attempt failed")
 
     async def _run_attempt(
@@ -97,7 +95,7 @@
                     connection = acquired
                     ending = await connection.exchange(attempt, get_statement)
                 return
-            # Only a scope that ended the wait leads here: by its deadline, or cancelled.
+            # Reached only if the scope interrupted the wait: its deadline passed or it was cancelled.
             if connection is not None and not attempt.cancelled and not attempt.stall_reason:
                 connection.note_timeout(attempt)
             ending = attempt.interrupted_ending()
@@ -108,7 +106,8 @@
                 self._drop(connection)
                 connection = None
         finally:
-            # The connection closes before the end is reported, or a hedged copy could run beside this one.
+            # The connection is closed before the result is reported; otherwise a hedged copy of the request
+            # could run at the same time as this attempt.
             if connection is not None and not connection.is_answered:
                 self._drop(connection)
                 connection = None
@@ -118,10 +117,8 @@
             if connection is not None:
                 await self._release(connection)
 
-    # ---- connections -------------------------------------------------------------------------------
-
     async def _acquire(self, address: Address) -> UpstreamConnection | AttemptResult:
-        """A connection on which nothing is in flight; the attempt's ending where there is none."""
+        """Return a connection without a request in flight, or the attempt's result if none is available."""
         if (connection := self._take_idle(address)) is not None:
             return connection
         opened = await self._open(address)
@@ -131,7 +128,7 @@
         return opened
 
     def _take_idle(self, address: Address) -> UpstreamConnection | None:
-        """The connection that was used last, if it is still usable."""
+        """Return the most recently used idle connection that is still usable; drop unusable ones."""
         waiting, now = self._idle.get(address, []), self._clock.now()
         for index in range(len(waiting) - 1, -1, -1):
             if now - waiting[index].idle_since < REUSE_DELAY_MICROS:
@@ -173,10 +170,10 @@
         return AttemptResult(AttemptProgress.NO_CONNECTION, refusal, reason=why)
 
     async def _release(self, connection: UpstreamConnection) -> None:
-        """Wait for the end of an answer, then keep the connection for the next request."""
+        """Wait for the end of an answer, then retain the connection for another request."""
         machine = connection.machine
         try:
-            # most often ReadyForQuery came with the answer
+            # ReadyForQuery usually arrives together with the answer.
             if machine.state is ConnectionState.ANSWER_RECEIVED:
                 with anyio.move_on_after(self._connect_timeout):
                     while machine.state is ConnectionState.ANSWER_RECEIVED:
@@ -200,16 +197,14 @@
         self._count += change
         self.sockets.used += change
 
-    # ---- idle connections --------------------------------------------------------------------------
-
     def retain_addresses(self, addresses: Container[Address]) -> None:
-        """Close idle connections to any other address: its next listener may be another server."""
+        """Close idle connections to any other address, where another server may listen next."""
         for address in [known for known in self._idle if known not in addresses]:
             for connection in self._idle.pop(address):
                 self._drop(connection)
 
     def evict_idle(self) -> bool:
-        """Close the connection that has been idle for longest; False where none is."""
+        """Close the connection that has been idle for longest; return False if none is idle."""
         oldest_by_address = (waiting[0] for waiting in self._idle.values() if waiting)
         oldest = min(oldest_by_address, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
@@ -219,7 +214,7 @@
         return True
 
     async def run_sweeper(self) -> None:
-        """Close connections that have been idle for long or that the server has closed, for good."""
+        """Close connections that are idle for too long or closed by the server, until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
             expiry = self._clock.now() - self._idle_timeout
