--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -33,7 +33,7 @@
 from frostfall.net.request_trace import RequestTrace
 from frostfall.net.requests import RequestTable
 from frostfall.net.rollout_client import RolloutClient
-from frostfall.net.streams import SocketBudget, open_listener_patiently
+from frostfall.net.streams import SocketBudget, open_listener_with_retry
 from frostfall.net.supervision import keep_running
 from frostfall.net.upstream_pool import UpstreamPool
 from frostfall.policy import drain
@@ -265,7 +265,7 @@
         `drain.IMMEDIATE_DRAIN_SECONDS`.
         """
         with log.bind_agent_name(self.config.name):  # another agent of this process has another name
-            listener = await open_listener_patiently(self.config.listen)
+            listener = await open_listener_with_retry(self.config.listen)
             async with anyio.create_task_group() as outer:
                 outer.start_soon(self._abandon_when_cancelled)
                 with anyio.CancelScope(shield=True):
--- a/frostfall/net/client_acceptor.py
+++ b/frostfall/net/client_acceptor.py
@@ -14,7 +14,7 @@
 from frostfall.net.streams import LISTEN_BACKLOG, Stream
 
 ACCEPT_RETRY_SECONDS = 0.01  # after an error, or while too many overflow connections are open
-MAX_ACCEPTS_PER_TURN = 16  # so that many new connections do not starve the open ones
+MAX_ACCEPTS_PER_BATCH = 16  # so that many new connections do not starve the open ones
 MAX_OVERFLOW_CONNECTIONS = 8  # open above the connection limit, to be rejected or closing
 
 
@@ -53,7 +53,7 @@
         """Accept connections until cancelled."""
         while True:
             await anyio.wait_readable(self._listener)
-            await self._accept_turn()
+            await self._accept_batch()
 
     async def accept_pending(self) -> None:
         """Accept only the connections that are already in the kernel's accept queue.
@@ -61,15 +61,15 @@
         As new connections may keep the queue from becoming empty, at most one full queue is accepted.
         """
         last = self._accepted_count + LISTEN_BACKLOG + 1
-        while self._accepted_count < last and await self._accept_turn():
+        while self._accepted_count < last and await self._accept_batch():
             await checkpoint()
 
-    async def _accept_turn(self) -> bool:
+    async def _accept_batch(self) -> bool:
         """Accept one batch of connections; return False once the kernel's accept queue is empty."""
         # An evicted connection releases its descriptor only when its task next runs.
         while self._target.overflow_count >= MAX_OVERFLOW_CONNECTIONS:
             await anyio.sleep(0 if self._target.close_silent() else ACCEPT_RETRY_SECONDS)
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_BATCH):
             if wait := self._pacer.take(monotonic(), self._target.arrival_rate):
                 await anyio.sleep(wait)
                 break
--- a/frostfall/net/client_connection.py
+++ b/frostfall/net/client_connection.py
@@ -23,10 +23,10 @@
 
 IDLE_CLOSE_SECONDS = 2.0  # the protocol permits closing a connection without an open request after this time
 CHECK_INTERVAL_SECONDS = 0.25  # between checks of a client with a partial query or undelivered output
-LEAVING_CHECK_SECONDS = 0.04  # between checks whether a client whose input is paused has disconnected
+DISCONNECT_CHECK_SECONDS = 0.04  # between checks whether a client whose input is paused has disconnected
 MAX_PENDING_OUTPUT_BYTES = 64 * 1024  # with more output unwritten, no further query is processed
 # Input that a connection may buffer even when the total limit is exceeded; small enough for all connections.
-SMALL_BUFFER_BYTES = 8 * 1024
+GUARANTEED_BUFFER_BYTES = 8 * 1024
 
 _numbers = count(1)
 _log = log.get_logger("clients")
@@ -60,17 +60,17 @@
         self._stream = stream
         self._handler = handler
         self._owner = owner
-        self._machine = ServerProtocol()
+        self._protocol = ServerProtocol()
         self._deficit = DeficitCounter(owner.slow_peers.options.turn)
         self._output = ClientOutput(stream, owner, lambda: owner.slow_peers.options.turn.size)
-        self._answered = anyio.Event()
+        self._answer_sent = anyio.Event()
         self._pending = owner.pending_answers
         self._scope = anyio.CancelScope()
         self._input_scope = anyio.CancelScope()  # ends when the connection begins to close
         self._processing = False
         self._disconnected = False  # the client has disconnected, or the connection was aborted
         self._closing = False  # the connection closes once its output is delivered
-        self._close_reason: CloseReason | None = None  # reason for closing, now or once the connection is idle
+        self._close_reason: CloseReason | None = None  # reason for closing, now or once idle
         self._monitored_since = owner.monitor.now
         self._has_queried = False  # a whole query has been received
         self._was_answered = False
@@ -106,9 +106,9 @@
     def _answer_remaining(self) -> None:
         """Send final answers to the queries already read, as far as the kernel accepts the data."""
         try:
-            if self._machine.busy:
+            if self._protocol.busy:
                 self.answer(pg_server.failure_answer())
-            while isinstance(self._machine.next_event(), Query):
+            while isinstance(self._protocol.next_event(), Query):
                 self._pending.accept(self)
                 self.answer(pg_server.rejection_answer(0))
         except Exception:  # the stream has to be closed in spite of an error here
@@ -117,7 +117,7 @@
     @property
     def idle(self) -> bool:
         """True if no query is pending or partly read and the connection is not closing."""
-        return not (self._machine.busy or self._machine.buffered or self._closing)
+        return not (self._protocol.busy or self._protocol.buffered or self._closing)
 
     @property
     def closing(self) -> bool:
@@ -143,45 +143,45 @@
         self.request = None
         self._was_answered = True
         self.last_used_at = monotonic()
-        self._machine.mark_answered()
+        self._protocol.mark_answered()
         self._pending.answered(self)
         self._send(data)
-        if self.draining and not self._machine.buffered:
+        if self.draining and not self._protocol.buffered:
             self._begin_closing(self._close_reason or CloseReason.DRAINED)
-        self._answered.set()
-        if self._machine.buffered and not self._processing:
-            self._owner.start_soon(self._process_buffered_aside)
+        self._answer_sent.set()
+        if self._protocol.buffered and not self._processing:
+            self._owner.start_soon(self._process_buffered_in_task)
         self._owner.mark_idle(self)
 
     def drain(self) -> None:
         """Close after the pending answer, or immediately if `can_close`."""
         self.draining = True
         if self.can_close:
-            self.begin_close(CloseReason.DRAINED)
+            self.close_when_idle(CloseReason.DRAINED)
 
-    def begin_close(self, reason: CloseReason = CloseReason.NEEDED_ROOM) -> None:
+    def close_when_idle(self, reason: CloseReason = CloseReason.NEEDED_ROOM) -> None:
         """Close immediately if no answer is pending; queries received so far are answered first."""
         self.draining = True
         self._close_reason = self._close_reason or reason
-        if not (self._machine.busy or self._machine.buffered or self._stream.has_input):
+        if not (self._protocol.busy or self._protocol.buffered or self._stream.has_input):
             self._begin_closing(reason)
 
     def finish(self) -> None:
         """Close now: answer the queries already read, reject a partly read query, and read no further."""
         self.draining = True
-        if self._closing or self._disconnected or self._machine.closed:
+        if self._closing or self._disconnected or self._protocol.closed:
             return
-        if self._machine.busy:
+        if self._protocol.busy:
             self.answer(pg_server.failure_answer())
-        while isinstance(event := self._machine.next_event(), Query):
+        while isinstance(event := self._protocol.next_event(), Query):
             self._pending.accept(self)
             self._trace_rejection(RejectReason.SHUTDOWN)
             self.answer(pg_server.rejection_answer(0))
-        if event is None and self._machine.buffered:
-            self._send(self._machine.reject_partial_query().data)
+        if event is None and self._protocol.buffered:
+            self._send(self._protocol.reject_partial_query().data)
         self._begin_closing(CloseReason.SHUTDOWN)
 
-    def cut_off(self) -> None:
+    def force_close(self) -> None:
         """Close without waiting for the client to read its remaining output."""
         self._pending.may_close(self)
         self._abort(CloseReason.SHUTDOWN)
@@ -211,7 +211,7 @@
             if not self._output_expired(now):
                 return CHECK_INTERVAL_SECONDS
             self._abort(CloseReason.CLIENT_READS_TOO_SLOWLY)
-        elif self._machine.busy or self._closing:
+        elif self._protocol.busy or self._closing:
             pass
         elif (delay := self._check_sending(now)) is not None:
             return delay
@@ -229,7 +229,7 @@
         """Return whether output has been blocked too long to be useful; False if a minimum rate is set."""
         if self._owner.slow_peers.options.clients.reading_rate(self.progress.class_name):
             return False
-        return now - self._output.waiting_since > self._owner.max_request_seconds
+        return now - self._output.blocked_since > self._owner.max_request_seconds
 
     def _check_sending(self, now: float) -> float | None:
         """Check a client without a whole query so far; return the seconds until the next check, or None."""
@@ -248,7 +248,7 @@
             if silence <= IDLE_CLOSE_SECONDS:
                 return max(IDLE_CLOSE_SECONDS - silence, CHECK_INTERVAL_SECONDS)
             if self.draining and partial_since is None:
-                self.begin_close(CloseReason.SILENT)
+                self.close_when_idle(CloseReason.SILENT)
             else:
                 self._reject(pg.MalformedReason.SILENT)
         return None
@@ -265,14 +265,14 @@
     def _reject(self, why: pg.MalformedReason, text: str | None = None) -> None:
         """Send a final error to a client that violates the protocol, and close the connection."""
         self._owner.malformed_counts[text or why.value] += 1
-        self._send(self._machine.close_malformed(why, text).data)
+        self._send(self._protocol.close_malformed(why, text).data)
         self._begin_closing(CloseReason.SILENT if why is pg.MalformedReason.SILENT else CloseReason.MALFORMED)
 
     def _reject_query(self, fault: str) -> None:
         """Answer a malformed query with an error, and close after answering the queries read with it."""
-        self._machine.mark_answered()
+        self._protocol.mark_answered()
         self._pending.answered(self)
-        if not self._machine.buffered:
+        if not self._protocol.buffered:
             self._reject(pg.MalformedReason.TEXT, fault)
             return
         self._owner.malformed_counts[fault] += 1
@@ -325,7 +325,7 @@
         except Exception:  # an error in one connection must not end the others
             self._end_after_fault()
 
-    async def _process_buffered_aside(self) -> None:
+    async def _process_buffered_in_task(self) -> None:
         try:
             await self._process_buffered()
         except Exception:  # an error in one connection must not end the others
@@ -339,8 +339,8 @@
 
     async def _read(self) -> None:
         """Read until the connection closes or the client disconnects."""
-        while not (self._machine.closed or self._closing or self._disconnected):
-            if self._machine.buffered > pg.MAX_READ_BYTES and (self._machine.busy or self._output):
+        while not (self._protocol.closed or self._closing or self._disconnected):
+            if self._protocol.buffered > pg.MAX_READ_BYTES and (self._protocol.busy or self._output):
                 await self._wait_until_caught_up()  # backpressure on a client that pipelines queries
                 continue
             try:
@@ -360,38 +360,38 @@
             return
         self.last_used_at = monotonic()
         self.progress.bytes_received += len(data)
-        self._machine.feed(data)
+        self._protocol.feed(data)
         await self._process_buffered()
-        machine = self._machine
-        is_partial = machine.buffered and not (machine.busy or self._is_throttled or machine.closed)
-        if is_partial and machine.buffered > SMALL_BUFFER_BYTES and self._owner.memory_exceeded:
+        protocol = self._protocol
+        is_partial = protocol.buffered and not (protocol.busy or self._is_throttled or protocol.closed)
+        if is_partial and protocol.buffered > GUARANTEED_BUFFER_BYTES and self._owner.memory_exceeded:
             # A partly read query has not been accepted, so that it may be rejected.
-            machine.close_malformed(pg.MalformedReason.OVERSIZE)
+            protocol.close_malformed(pg.MalformedReason.OVERSIZE)
             self._send(pg_server.rejection_answer(0))
             self._begin_closing(CloseReason.OVERSIZE)
         elif self.draining and self.can_close:
-            self.begin_close(CloseReason.DRAINED)
+            self.close_when_idle(CloseReason.DRAINED)
 
     async def _wait_until_caught_up(self) -> None:
         """Wait until pending output or the pending answer is sent, or the client has disconnected.
 
         A disconnection is checked separately, as unread input can precede the end of the stream.
         """
-        with anyio.move_on_after(LEAVING_CHECK_SECONDS):
+        with anyio.move_on_after(DISCONNECT_CHECK_SECONDS):
             if self._output:
                 await self._output.wait_flushed()
             else:
-                self._answered = anyio.Event()
-                await self._answered.wait()
+                self._answer_sent = anyio.Event()
+                await self._answer_sent.wait()
         if self._stream.peer_has_closed:
             self._abort(CloseReason.CLIENT_LEFT)
 
     async def _process_buffered(self) -> None:
         """Handle the buffered messages, one time slice after another."""
-        while not self._disconnected and self._process_turn():
+        while not self._disconnected and self._process_time_slice():
             await checkpoint()
 
-    def _process_turn(self) -> bool:
+    def _process_time_slice(self) -> bool:
         """Handle one time slice of messages; return whether more may be ready to be handled."""
         if self._processing:  # reentrant call: a query can be answered inside this loop
             return False
@@ -399,20 +399,20 @@
         self._deficit.add_quantum()
         try:
             while self._deficit.may_continue:
-                before = self._machine.buffered
-                if self._is_throttled or (event := self._machine.next_event()) is None:
+                before = self._protocol.buffered
+                if self._is_throttled or (event := self._protocol.next_event()) is None:
                     return False
                 self._handle_event(event)
-                self._deficit.charge(before - self._machine.buffered)
+                self._deficit.charge(before - self._protocol.buffered)
             return True
         finally:
             self._processing = False
-            self._owner.update_buffered(self, self._machine.buffered)
+            self._owner.update_buffered(self, self._protocol.buffered)
             self._track_partial_query()
 
     def _track_partial_query(self) -> None:
         """Record the time since which a query is partly read, for the checks of the client's sending rate."""
-        is_partial = self._machine.buffered and not (self._machine.busy or self._closing or self._output)
+        is_partial = self._protocol.buffered and not (self._protocol.busy or self._closing or self._output)
         if is_partial and self.progress.partial_since is None:
             self.progress.partial_since = self._owner.monitor.now
             has_rate = self._owner.slow_peers.options.clients.sending
--- a/frostfall/net/client_connections.py
+++ b/frostfall/net/client_connections.py
@@ -77,7 +77,7 @@
         self._connection_tasks: TaskGroup | None = None
         self._side_tasks: TaskGroup | None = None
         self._accepting: anyio.CancelScope | None = None
-        self._accepting_last: anyio.CancelScope | None = None  # scope of `_accept_pending`
+        self._accepting_pending: anyio.CancelScope | None = None  # scope of `_accept_pending`
 
     def __len__(self) -> int:
         """Return the number of open connections."""
@@ -96,7 +96,7 @@
                     with anyio.CancelScope() as self._accepting:
                         await keep_running("accept", acceptor.run)
                     # Closing the listener would reset the connections in the kernel's accept queue.
-                    with anyio.move_on_after(ACCEPT_PENDING_SECONDS) as self._accepting_last:
+                    with anyio.move_on_after(ACCEPT_PENDING_SECONDS) as self._accepting_pending:
                         await self._accept_pending(acceptor)
                     listener.close()
                 self._side_tasks.cancel_scope.cancel()
@@ -123,15 +123,15 @@
 
     def finish(self) -> None:
         """Close every connection now, with a final answer to each query read from it."""
-        if self._accepting_last:
-            self._accepting_last.cancel()
+        if self._accepting_pending:
+            self._accepting_pending.cancel()
         for client in list(self._open):
             client.finish()
 
-    def cut_off(self) -> None:
+    def force_close(self) -> None:
         """Close the connections of clients that have not read their remaining output."""
         for client in list(self._open):
-            client.cut_off()
+            client.force_close()
 
     def check_all(self) -> None:
         """Schedule an early check of every connection, after the options have changed."""
@@ -149,7 +149,7 @@
             if client.idle:
                 if client.last_used_at > before:
                     break
-                client.begin_close(CloseReason.IDLE)
+                client.close_when_idle(CloseReason.IDLE)
 
     @property
     def overflow_count(self) -> int:
@@ -163,7 +163,7 @@
 
     def add(self, stream: Stream, source: str) -> None:
         """Serve a connection from address `source`, after evicting another if a limit is reached."""
-        is_overflow = not self._make_room()
+        is_overflow = not self._free_capacity()
         if waiting := self.slow_peers.options.waiting:
             stream.limit_send_buffer(waiting.kernel_bytes)
         client = ClientConnection(stream, self._handler, self, is_overflow, source)
@@ -183,7 +183,7 @@
         oldest = next(iter(self._silent), None)
         if oldest is None or monotonic() - oldest.opened_at <= NEW_CONNECTION_GRACE_SECONDS:
             return False
-        oldest.begin_close()
+        oldest.close_when_idle()
         return True
 
     async def _serve(self, client: ClientConnection) -> None:
@@ -199,7 +199,7 @@
             self.slow_peers.budget.release(client)
             self.sockets.used -= 1
 
-    def _make_room(self) -> bool:
+    def _free_capacity(self) -> bool:
         """Evict a connection if the limit is reached; return whether one more can be served."""
         if not self.is_full:
             return True
@@ -208,7 +208,7 @@
         if len(self._open) < self._max_connections and self._evict_other():
             return True
         if idle := next(iter(self._idle), None):
-            idle.begin_close()
+            idle.close_when_idle()
         return idle is not None
 
     @property
@@ -261,6 +261,6 @@
         oldest = next((other for other in self._silent if not other.is_overflow), None)
         if oldest is None:
             return False
-        oldest.begin_close()
+        oldest.close_when_idle()
         client.is_overflow, client.draining = False, self._draining
         return True
--- a/frostfall/net/client_output.py
+++ b/frostfall/net/client_output.py
@@ -9,7 +9,7 @@
 import anyio
 
 from frostfall.net.connection_monitor import ConnectionMonitor
-from frostfall.net.streams import SHORTAGE_PAUSE_SECONDS, Stream
+from frostfall.net.streams import RESOURCE_RETRY_SECONDS, Stream
 
 DELIVERY_POLL_SECONDS = 0.01  # between checks whether the last bytes have reached the client
 CLOSE_LINGER_SECONDS = 0.25  # time for a client that sent data after the end of the output to close first
@@ -29,57 +29,59 @@
 class ClientOutput:
     """Buffers and writes output to one stream; writes raise one of STREAM_ERRORS on a broken connection."""
 
-    def __init__(self, stream: Stream, owner: OutputOwner, piece_bytes: Callable[[], int]) -> None:
-        """Write buffered data in chunks of `piece_bytes`, so that one client does not delay the others."""
-        self.waiting_since = 0.0  # monitor's time at which the kernel last accepted buffered data
+    def __init__(self, stream: Stream, owner: OutputOwner, chunk_bytes: Callable[[], int]) -> None:
+        """Write buffered data in chunks of `chunk_bytes`, so that one client does not delay the others."""
+        self.blocked_since = (
+            0.0  # monitor's time of the kernel's last acceptance of data, while some is buffered
+        )
         self._stream = stream
         self._owner = owner
-        self._piece_bytes = piece_bytes
-        self._waiting = bytearray()  # data that the kernel has not accepted yet
+        self._chunk_bytes = chunk_bytes
+        self._unwritten = bytearray()  # data that the kernel has not accepted yet
         self._flushed = anyio.Event()
-        self._ends = False
+        self._end_requested = False
 
     def __len__(self) -> int:
         """Return the number of bytes that the kernel has not accepted yet."""
-        return len(self._waiting)
+        return len(self._unwritten)
 
     def write(self, data: bytes) -> bool:
         """Write data, or buffer the part that the kernel does not accept; return True to request `flush`."""
-        if self._waiting:
-            self._waiting += data
+        if self._unwritten:
+            self._unwritten += data
             return False
-        rest = data[self._stream.write(data) :]
-        if not rest:
+        remainder = data[self._stream.write(data) :]
+        if not remainder:
             return False
-        self.waiting_since = self._owner.monitor.now
+        self.blocked_since = self._owner.monitor.now
         self._flushed = anyio.Event()
-        self._waiting += rest
+        self._unwritten += remainder
         return True
 
     def end(self) -> None:
         """End the output after the buffered data; the client reads all of it and then the end."""
-        self._ends = True
-        if not self._waiting:
+        self._end_requested = True
+        if not self._unwritten:
             self._stream.shutdown_write()
 
     async def flush(self) -> None:
         """Write the buffered data as the client reads it, then end the output if `end` was called."""
         try:
-            while self._waiting:
+            while self._unwritten:
                 await self._stream.wait_writable()
-                if written := self._stream.write(self._waiting[: self._piece_bytes()]):
-                    del self._waiting[:written]
-                    self.waiting_since = self._owner.monitor.now
+                if written := self._stream.write(self._unwritten[: self._chunk_bytes()]):
+                    del self._unwritten[:written]
+                    self.blocked_since = self._owner.monitor.now
                 else:  # writable, but no byte was accepted: the kernel lacks memory
-                    await anyio.sleep(SHORTAGE_PAUSE_SECONDS)
-            if self._ends:
+                    await anyio.sleep(RESOURCE_RETRY_SECONDS)
+            if self._end_requested:
                 self._stream.shutdown_write()
         finally:
             self._flushed.set()
 
     async def wait_flushed(self) -> None:
         """Wait until the kernel has accepted all data or the connection is broken."""
-        if self._waiting:
+        if self._unwritten:
             await self._flushed.wait()
 
     async def wait_delivered(self) -> None:
--- a/frostfall/net/clock.py
+++ b/frostfall/net/clock.py
@@ -17,11 +17,11 @@
     """
 
     def __init__(
-        self, wall: Callable[[], int] = time.time_ns, steady: Callable[[], int] = time.monotonic_ns
+        self, wall: Callable[[], int] = time.time_ns, monotonic: Callable[[], int] = time.monotonic_ns
     ) -> None:
-        """Read the wall clock once; `wall` and `steady` return nanoseconds."""
-        self._monotonic_ns = steady
-        self._offset = wall() - steady()
+        """Read the wall clock once; `wall` and `monotonic` return nanoseconds."""
+        self._monotonic_ns = monotonic
+        self._offset = wall() - monotonic()
 
     def now(self) -> int:
         """Return microseconds of Unix time, which are comparable among agents."""
--- a/frostfall/net/endpoints.py
+++ b/frostfall/net/endpoints.py
@@ -33,17 +33,17 @@
         """All usable addresses by server id."""
         return self._addresses
 
-    def apply(self, listing: EndpointListUpdate, kind: api.ServerListKind) -> api.ServerListUpdated:
+    def apply(self, update: EndpointListUpdate, kind: api.ServerListKind) -> api.ServerListUpdated:
         """Apply a whole list, or a change with `DELTA`; return the event that reports it to the engine."""
-        event = endpoint_adapter.to_list_update(listing, kind)
+        event = endpoint_adapter.to_list_update(update, kind)
         if kind is not api.ServerListKind.DELTA:
             self._addresses.clear()
-        for entry, server in zip(listing.instances, event.servers):
+        for instance, server in zip(update.instances, event.servers):
             self._addresses.pop(server.id, None)
             if server.availability is api.Availability.REMOVED:
                 continue
             try:
-                self._addresses[server.id] = parse_address(entry.host_port, entry.instance_id)
+                self._addresses[server.id] = parse_address(instance.host_port, instance.instance_id)
             except ConfigError as error:  # without an address, attempts to this server end as unreachable
                 _log.warning("unusable address", why=str(error))
         return event
--- a/frostfall/net/graceful_shutdown.py
+++ b/frostfall/net/graceful_shutdown.py
@@ -73,7 +73,7 @@
         self._clients.finish()
         await anyio.sleep(max(schedule.exit_at - monotonic(), 0.0))
         _log.warning("stopped before all was read", clients=len(self._clients))
-        self._clients.cut_off()
+        self._clients.force_close()
 
     def finished(self) -> None:
         """All connections have ended."""
--- a/frostfall/net/pending_reply.py
+++ b/frostfall/net/pending_reply.py
@@ -13,15 +13,15 @@
     def __init__(self) -> None:
         """Start without a reply."""
         self._message: MemberMessage | None = None
-        self._arrived = anyio.Event()
+        self._received = anyio.Event()
 
     def resolve(self, message: MemberMessage | None) -> None:
         """Set the reply and ignore later ones; None if the connection was lost or no reply will follow."""
-        if not self._arrived.is_set():
+        if not self._received.is_set():
             self._message = message
-            self._arrived.set()
+            self._received.set()
 
     async def wait(self) -> MemberMessage | None:
         """Wait for the reply; None if none will arrive."""
-        await self._arrived.wait()
+        await self._received.wait()
         return self._message
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -20,12 +20,12 @@
 
 LISTEN_BACKLOG = 512  # connections; absorbs a burst while the only core is busy
 CONNECT_TIMEOUT_SECONDS = 1.0  # to services; the timeout for upstream servers is in the settings
-SHORTAGE_PAUSE_SECONDS = 0.01  # before a call is repeated that failed for lack of a system resource
+RESOURCE_RETRY_SECONDS = 0.01  # before a call is repeated that failed for lack of a system resource
 # Opening a listener is retried for this time while the machine lacks resources, or while the previous process
 # still holds the address during the first part of its drain.
-LISTEN_PATIENCE_SECONDS = 5.0
-_LISTEN_SHORTAGES = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRINUSE)
-_SHORTAGES = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)  # temporary; the connection itself is intact
+LISTEN_RETRY_SECONDS = 5.0
+_TRANSIENT_LISTEN_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRINUSE)
+_TRANSIENT_ERRORS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)  # temporary; the connection itself is intact
 _INT = struct.Struct("i")
 _SIOCOUTQ = termios.TIOCOUTQ  # queries the unacknowledged bytes; see tcp(7)
 _SIOCOUTQNSD = 0x894B  # queries the bytes never sent; from linux/sockios.h
@@ -136,7 +136,7 @@
         except BlockingIOError:
             return b""
         except OSError as error:
-            if error.errno in _SHORTAGES:
+            if error.errno in _TRANSIENT_ERRORS:
                 return b""
             raise anyio.BrokenResourceError from error
         if not data:
@@ -160,7 +160,7 @@
         except BlockingIOError:
             return 0
         except OSError as error:
-            if error.errno in _SHORTAGES:
+            if error.errno in _TRANSIENT_ERRORS:
                 return 0
             raise anyio.BrokenResourceError from error
 
@@ -176,7 +176,7 @@
             written = self.write(memoryview(data)[sent:])
             sent += written
             if not written:
-                await anyio.sleep(SHORTAGE_PAUSE_SECONDS)
+                await anyio.sleep(RESOURCE_RETRY_SECONDS)
 
     def shutdown_write(self) -> None:
         """End the output after the data written so far; the peer reads all of it and then the end."""
@@ -209,16 +209,16 @@
     return listener
 
 
-async def open_listener_patiently(address: Address) -> socket.socket:
+async def open_listener_with_retry(address: Address) -> socket.socket:
     """Open a listener, retrying while resources are short or the address is taken; OSError on failure."""
-    give_up_at = anyio.current_time() + LISTEN_PATIENCE_SECONDS
+    give_up_at = anyio.current_time() + LISTEN_RETRY_SECONDS
     while True:
         try:
             return open_listener(address)
         except OSError as error:
-            if error.errno not in _LISTEN_SHORTAGES or anyio.current_time() >= give_up_at:
+            if error.errno not in _TRANSIENT_LISTEN_ERRORS or anyio.current_time() >= give_up_at:
                 raise
-        await anyio.sleep(SHORTAGE_PAUSE_SECONDS)
+        await anyio.sleep(RESOURCE_RETRY_SECONDS)
 
 
 async def connect(address: Address) -> Stream:
--- a/frostfall/net/upstream_connection.py
+++ b/frostfall/net/upstream_connection.py
@@ -12,7 +12,7 @@
 from frostfall.limits.shed_counter import ShedReason
 from frostfall.limits.slow_peer_detector import ConnectionProgress, SlowPeerDetector
 from frostfall.net.connection_monitor import TICK_SECONDS, ConnectionMonitor, MonitoredConnection
-from frostfall.net.streams import SHORTAGE_PAUSE_SECONDS, STREAM_ERRORS, Stream
+from frostfall.net.streams import RESOURCE_RETRY_SECONDS, STREAM_ERRORS, Stream
 from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
 from frostfall.protocol.pg_client import ClientProtocol, ConnectionState
 
@@ -34,7 +34,7 @@
         super().__init__()
         self.address = address
         self.stream = stream
-        self.machine = ClientProtocol(USER, DATABASE)
+        self.protocol = ClientProtocol(USER, DATABASE)
         self.progress = ConnectionProgress()
         self.idle_since = 0  # microseconds of Unix time
         self.attempt: UpstreamAttempt | None = None  # attempt in flight
@@ -45,12 +45,12 @@
     @property
     def usable(self) -> bool:
         """True if nothing was received since the last answer, not even the end of the stream."""
-        return self.machine.reusable and self.stream.is_quiet
+        return self.protocol.reusable and self.stream.is_quiet
 
     @property
     def is_answered(self) -> bool:
         """True if no answer is pending: no query was sent, or its answer has been received."""
-        return self.machine.state in (ConnectionState.READY, ConnectionState.ANSWER_RECEIVED)
+        return self.protocol.state in (ConnectionState.READY, ConnectionState.ANSWER_RECEIVED)
 
     def check(self, now: float) -> float | None:
         """Check how fast the server reads the query and sends the answer; None between attempts."""
@@ -69,7 +69,7 @@
         self.attempt.abort_stalled(reason)
         return None
 
-    def note_timeout(self, attempt: UpstreamAttempt) -> None:
+    def record_timeout(self, attempt: UpstreamAttempt) -> None:
         """Mark a timed-out attempt as stalled, and count it, if the server was sending its answer slowly."""
         if self._slow_peers.ended_within_response(self.progress, self._monitor.now):
             attempt.abort_stalled(ShedReason.SERVER_SENDS_SLOWLY)
@@ -77,15 +77,15 @@
 
     async def open(self) -> None:
         """Exchange the startup messages; the protocol state is READY if the server accepts."""
-        await self.stream.send(self.machine.startup_message)
-        while self.machine.state is ConnectionState.STARTING:
-            self.machine.feed(await self.stream.receive())
+        await self.stream.send(self.protocol.startup_message)
+        while self.protocol.state is ConnectionState.STARTING:
+            self.protocol.feed(await self.stream.receive())
 
     async def exchange(
         self, attempt: UpstreamAttempt, get_statement: Callable[[], bytes | None]
     ) -> AttemptResult:
         """Write a query and read its answer; `get_statement` returns None if it must not be sent."""
-        machine, progress = self.machine, self.progress
+        protocol, progress = self.protocol, self.progress
         self.attempt = attempt
         attempt.progress, progress.partial_since = AttemptProgress.NOT_WRITTEN, None
         if (text := get_statement()) is None:
@@ -93,23 +93,23 @@
                 AttemptProgress.NOT_WRITTEN, withheld=True, reason="withdrawn before it was written"
             )
         try:
-            data = machine.encode_query(text)
+            data = protocol.encode_query(text)
             progress.bytes_written += len(data)
             self.unwritten_bytes = len(data)
             if self._slow_peers.monitors_servers:
                 self._start_monitoring(attempt)
             await self._write(attempt, data)
-            while machine.answer is None:
+            while protocol.answer is None:
                 received = await self.stream.receive()
                 if attempt.progress is not AttemptProgress.ANSWERING:
                     attempt.progress = AttemptProgress.ANSWERING
                     progress.partial_since = self._monitor.now
                     progress.partial_start_bytes = progress.bytes_received
                 progress.bytes_received += len(received)
-                machine.feed(received)
+                protocol.feed(received)
         except STREAM_ERRORS as error:
             return AttemptResult(attempt.progress, reason=repr(error))
-        return AttemptResult(attempt.progress, machine.answer, load_report=machine.load_report)
+        return AttemptResult(attempt.progress, protocol.answer, load_report=protocol.load_report)
 
     def _start_monitoring(self, attempt: UpstreamAttempt) -> None:
         self.progress.class_name = attempt.class_name
@@ -125,11 +125,11 @@
         while self.unwritten_bytes:
             if self.unwritten_bytes < len(data):
                 await self.stream.wait_writable()
-            rest = memoryview(data)[-self.unwritten_bytes :]
-            written = self.stream.write(rest)
+            remainder = memoryview(data)[-self.unwritten_bytes :]
+            written = self.stream.write(remainder)
             self.unwritten_bytes -= written
             if not written and self.unwritten_bytes:
-                await anyio.sleep(SHORTAGE_PAUSE_SECONDS)
+                await anyio.sleep(RESOURCE_RETRY_SECONDS)
         attempt.progress = AttemptProgress.WRITTEN
 
 
@@ -165,7 +165,7 @@
         self.stall_reason = reason
         self.scope.cancel()
 
-    def interrupted_ending(self) -> AttemptResult:
+    def interrupted_result(self) -> AttemptResult:
         """Return the result of an attempt that was cancelled, was aborted as stalled or timed out."""
         return AttemptResult(
             self.progress,
--- a/frostfall/net/upstream_pool.py
+++ b/frostfall/net/upstream_pool.py
@@ -84,24 +84,24 @@
         on_end: Callable[[AttemptResult], None],
     ) -> None:
         connection: UpstreamConnection | None = None
-        ending = AttemptResult(AttemptProgress.NO_CONNECTION, reason="failed")
+        result = AttemptResult(AttemptProgress.NO_CONNECTION, reason="failed")
         try:
             with attempt.scope:
                 attempt.scope.deadline = anyio.current_time() + (deadline - self._clock.now()) / 1e6
                 acquired = await self._acquire(address)
                 if isinstance(acquired, AttemptResult):
-                    ending = acquired
+                    result = acquired
                 else:
                     connection = acquired
-                    ending = await connection.exchange(attempt, get_statement)
+                    result = await connection.exchange(attempt, get_statement)
                 return
             # Reached only if the scope interrupted the wait: its deadline passed or it was cancelled.
             if connection is not None and not attempt.cancelled and not attempt.stall_reason:
-                connection.note_timeout(attempt)
-            ending = attempt.interrupted_ending()
+                connection.record_timeout(attempt)
+            result = attempt.interrupted_result()
         except Exception as error:
             _log.exception("attempt failed")
-            ending = AttemptResult(max(attempt.progress, AttemptProgress.WRITTEN), reason=repr(error))
+            result = AttemptResult(max(attempt.progress, AttemptProgress.WRITTEN), reason=repr(error))
             if connection is not None:
                 self._drop(connection)
                 connection = None
@@ -113,7 +113,7 @@
                 connection = None
             if connection is not None:
                 connection.attempt = None
-            on_end(ending)
+            on_end(result)
             if connection is not None:
                 await self._release(connection)
 
@@ -129,11 +129,11 @@
 
     def _take_idle(self, address: Address) -> UpstreamConnection | None:
         """Return the most recently used idle connection that is still usable; drop unusable ones."""
-        waiting, now = self._idle.get(address, []), self._clock.now()
-        for index in range(len(waiting) - 1, -1, -1):
-            if now - waiting[index].idle_since < REUSE_DELAY_MICROS:
+        idle, now = self._idle.get(address, []), self._clock.now()
+        for index in range(len(idle) - 1, -1, -1):
+            if now - idle[index].idle_since < REUSE_DELAY_MICROS:
                 continue
-            connection = waiting.pop(index)
+            connection = idle.pop(index)
             if connection.usable and now - connection.idle_since < self._idle_timeout:
                 return connection
             self._drop(connection)
@@ -145,7 +145,7 @@
                 await anyio.sleep(SOCKET_POLL_SECONDS)
         if self.sockets.exhausted:
             return AttemptResult(AttemptProgress.NO_CONNECTION, reason="no connection is free")
-        self._count_sockets(1)
+        self._adjust_socket_count(1)
         connection: UpstreamConnection | None = None
         answer = None
         why = "no connection in time"
@@ -156,32 +156,32 @@
                 if waiting := self._slow_peers.options.waiting:
                     stream.limit_send_buffer(waiting.kernel_bytes)
                 await connection.open()
-                if connection.machine.state is ConnectionState.READY:
+                if connection.protocol.state is ConnectionState.READY:
                     return connection
-                answer, why = connection.machine.answer, "turned away"
+                answer, why = connection.protocol.answer, "turned away"
         except (OSError, *STREAM_ERRORS) as error:
             why = repr(error)
         finally:
             if connection is None:
-                self._count_sockets(-1)
-            elif connection.machine.state is not ConnectionState.READY:
+                self._adjust_socket_count(-1)
+            elif connection.protocol.state is not ConnectionState.READY:
                 self._drop(connection)
         refusal = answer if isinstance(answer, ErrorAnswer) else None
         return AttemptResult(AttemptProgress.NO_CONNECTION, refusal, reason=why)
 
     async def _release(self, connection: UpstreamConnection) -> None:
         """Wait for the end of an answer, then retain the connection for another request."""
-        machine = connection.machine
+        protocol = connection.protocol
         try:
             # ReadyForQuery usually arrives together with the answer.
-            if machine.state is ConnectionState.ANSWER_RECEIVED:
+            if protocol.state is ConnectionState.ANSWER_RECEIVED:
                 with anyio.move_on_after(self._connect_timeout):
-                    while machine.state is ConnectionState.ANSWER_RECEIVED:
-                        machine.feed(await connection.stream.receive())
+                    while protocol.state is ConnectionState.ANSWER_RECEIVED:
+                        protocol.feed(await connection.stream.receive())
         except STREAM_ERRORS:
             pass
         finally:
-            if machine.reusable:
+            if protocol.reusable:
                 connection.idle_since = self._clock.now()
                 self._idle[connection.address].append(connection)
             else:
@@ -189,23 +189,23 @@
 
     def _drop(self, connection: UpstreamConnection) -> None:
         connection.attempt = None
-        self._count_sockets(-1)
+        self._adjust_socket_count(-1)
         self._monitor.cancel(connection)
         connection.stream.close()
 
-    def _count_sockets(self, change: int) -> None:
+    def _adjust_socket_count(self, change: int) -> None:
         self._count += change
         self.sockets.used += change
 
     def retain_addresses(self, addresses: Container[Address]) -> None:
         """Close idle connections to any other address, where another server may listen next."""
-        for address in [known for known in self._idle if known not in addresses]:
+        for address in [pooled for pooled in self._idle if pooled not in addresses]:
             for connection in self._idle.pop(address):
                 self._drop(connection)
 
     def evict_idle(self) -> bool:
         """Close the connection that has been idle for longest; return False if none is idle."""
-        oldest_by_address = (waiting[0] for waiting in self._idle.values() if waiting)
+        oldest_by_address = (idle[0] for idle in self._idle.values() if idle)
         oldest = min(oldest_by_address, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
             return False
@@ -222,9 +222,11 @@
                 self._sweep(address, expiry)
 
     def _sweep(self, address: Address, expiry: int) -> None:
-        waiting = self._idle[address]
-        stale = [each for each in waiting if each.idle_since <= expiry or not each.usable]
-        self._idle[address] = [each for each in waiting if each not in stale]
+        idle = self._idle[address]
+        stale = [
+            connection for connection in idle if connection.idle_since <= expiry or not connection.usable
+        ]
+        self._idle[address] = [connection for connection in idle if connection not in stale]
         if not self._idle[address]:
             del self._idle[address]
         for connection in stale:
@@ -232,7 +234,7 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        for waiting in self._idle.values():
-            for connection in waiting:
+        for idle in self._idle.values():
+            for connection in idle:
                 self._drop(connection)
         self._idle.clear()
