--- a/frostfall/net/client_output.py
+++ b/frostfall/net/client_output.py
@@ -31,9 +31,8 @@
 
     def __init__(self, stream: Stream, owner: OutputOwner, chunk_bytes: Callable[[], int]) -> None:
         """Write buffered data in chunks of `chunk_bytes`, so that one client does not delay the others."""
-        self.blocked_since = (
-            0.0  # monitor's time of the kernel's last acceptance of data, while some is buffered
-        )
+        # Monitor's time at which the kernel last accepted data; valid while data is buffered.
+        self.blocked_since = 0.0
         self._stream = stream
         self._owner = owner
         self._chunk_bytes = chunk_bytes
--- a/frostfall/net/upstream_pool.py
+++ b/frostfall/net/upstream_pool.py
@@ -223,10 +223,8 @@
 
     def _sweep(self, address: Address, expiry: int) -> None:
         idle = self._idle[address]
-        stale = [
-            connection for connection in idle if connection.idle_since <= expiry or not connection.usable
-        ]
-        self._idle[address] = [connection for connection in idle if connection not in stale]
+        stale = [candidate for candidate in idle if candidate.idle_since <= expiry or not candidate.usable]
+        self._idle[address] = [candidate for candidate in idle if candidate not in stale]
         if not self._idle[address]:
             del self._idle[address]
         for connection in stale:
