--- a/frostfall/net/client_connection.py
+++ b/frostfall/net/client_connection.py
@@ -303,7 +303,7 @@
     def _begin_closing(self, reason: CloseReason) -> None:
         """Stop reading, and close the connection after its output; every orderly close starts here.
 
-        The end of the output notifies the client. Data that it sends afterwards is never read; the protocol
+        The end of the output notifies the client. Data that the client sends later is never read; the protocol
         requires the client to resend it on another connection.
         """
         if self._closing or self._disconnected:
@@ -373,9 +373,9 @@
             self.close_when_idle(CloseReason.DRAINED)
 
     async def _wait_until_caught_up(self) -> None:
-        """Wait until pending output or the pending answer is sent, or the client has disconnected.
+        """Wait briefly until the buffered output or the pending answer is sent; detect a disconnection.
 
-        A disconnection is checked separately, as unread input can precede the end of the stream.
+        The disconnection is checked separately, as unread input can precede the end of the stream.
         """
         with anyio.move_on_after(DISCONNECT_CHECK_SECONDS):
             if self._output:
@@ -399,11 +399,11 @@
         self._deficit.add_quantum()
         try:
             while self._deficit.may_continue:
-                before = self._protocol.buffered
+                buffered_before = self._protocol.buffered
                 if self._is_throttled or (event := self._protocol.next_event()) is None:
                     return False
                 self._handle_event(event)
-                self._deficit.charge(before - self._protocol.buffered)
+                self._deficit.charge(buffered_before - self._protocol.buffered)
             return True
         finally:
             self._processing = False
@@ -415,8 +415,10 @@
         is_partial = self._protocol.buffered and not (self._protocol.busy or self._closing or self._output)
         if is_partial and self.progress.partial_since is None:
             self.progress.partial_since = self._owner.monitor.now
-            has_rate = self._owner.slow_peers.options.clients.sending
-            self._owner.monitor.schedule(self, CHECK_INTERVAL_SECONDS if has_rate else IDLE_CLOSE_SECONDS)
+            has_minimum_rate = self._owner.slow_peers.options.clients.sending
+            self._owner.monitor.schedule(
+                self, CHECK_INTERVAL_SECONDS if has_minimum_rate else IDLE_CLOSE_SECONDS
+            )
         elif not is_partial and self.progress.partial_since is not None:
             self.progress.partial_since = None
             self.progress.peer_sends.reset()
--- a/frostfall/net/client_connections.py
+++ b/frostfall/net/client_connections.py
@@ -237,9 +237,9 @@
 
     def enforce_buffer_limits(self, client: ClientConnection) -> None:
         """Shed connections until buffered output is within limits, after `client`'s output has changed."""
-        while found := self.slow_peers.find_eviction(client):
-            reason, chosen = found
-            chosen.shed(reason)
+        while eviction := self.slow_peers.find_eviction(client):
+            reason, evicted = eviction
+            evicted.shed(reason)
 
     def mark_active(self, client: ClientConnection) -> None:
         """Record that the connection has sent a query."""
--- a/frostfall/net/client_output.py
+++ b/frostfall/net/client_output.py
@@ -86,9 +86,9 @@
     async def wait_delivered(self) -> None:
         """Wait after `end` until the client has received all data and, briefly, for it to close first."""
         # Closing with unread input resets the connection, which discards output still in the kernel.
-        give_up_at = monotonic() + self._owner.max_request_seconds
+        deadline = monotonic() + self._owner.max_request_seconds
         await self.wait_flushed()
-        while self._stream.unacknowledged_bytes and monotonic() < give_up_at:
+        while self._stream.unacknowledged_bytes and monotonic() < deadline:
             # An acknowledgement may take 40 ms, in which many connections could occupy all descriptors. When
             # the limits are reached, bytes that were sent once are not waited for any longer.
             if self._stream.peer_has_closed or (self._owner.is_full and not self._stream.unsent_bytes):
@@ -96,7 +96,7 @@
             await anyio.sleep(DELIVERY_POLL_SECONDS)
         # Data that the client sent before it saw the end of the output turns the close into a reset. Waiting
         # lets the client read its last answer and close first.
-        linger_until = min(monotonic() + CLOSE_LINGER_SECONDS, give_up_at)
+        linger_until = min(monotonic() + CLOSE_LINGER_SECONDS, deadline)
         while self._stream.has_input and not self._stream.peer_has_closed and monotonic() < linger_until:
             if self._owner.is_full:
                 return
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -211,12 +211,12 @@
 
 async def open_listener_with_retry(address: Address) -> socket.socket:
     """Open a listener, retrying while resources are short or the address is taken; OSError on failure."""
-    give_up_at = anyio.current_time() + LISTEN_RETRY_SECONDS
+    deadline = anyio.current_time() + LISTEN_RETRY_SECONDS
     while True:
         try:
             return open_listener(address)
         except OSError as error:
-            if error.errno not in _TRANSIENT_LISTEN_ERRORS or anyio.current_time() >= give_up_at:
+            if error.errno not in _TRANSIENT_LISTEN_ERRORS or anyio.current_time() >= deadline:
                 raise
         await anyio.sleep(RESOURCE_RETRY_SECONDS)
 
