--- a/frostfall/net/client_connection.py
+++ b/frostfall/net/client_connection.py
@@ -303,8 +303,8 @@
     def _begin_closing(self, reason: CloseReason) -> None:
         """Stop reading, and close the connection after its output; every orderly close starts here.
 
-        The end of the output notifies the client. Data that the client sends later is never read; the protocol
-        requires the client to resend it on another connection.
+        The end of the output notifies the client. Data that the client sends later is never read; by the
+        protocol, the client resends it on another connection.
         """
         if self._closing or self._disconnected:
             return
--- a/frostfall/net/streams.py
+++ b/frostfall/net/streams.py
@@ -51,7 +51,7 @@
     """Exponential backoff with jitter between failed attempts; a success resets the delay."""
 
     def __init__(self, first: float, maximum: float) -> None:
-        """Begin with a delay of up to `first` seconds, which doubles with each failure up to `maximum`."""
+        """After a success, delay by at most `first` seconds; each failure doubles this, up to `maximum`."""
         self._first = first
         self._maximum = maximum
         self._delay = first
