--- a/frostfall/net/graceful_shutdown.py
+++ b/frostfall/net/graceful_shutdown.py
@@ -76,7 +76,7 @@
         self._clients.finish()
         await anyio.sleep(max(schedule.exit_at - monotonic(), 0.0))
         _log.warning("stopped before all was read", clients=len(self._clients))
-        self._clients.cut_off()
+        self._clients.force_close()
 
     def record_stopped(self) -> None:
         """Enter `STOPPED`, as all connections have closed."""
