--- a/frostfall/__main__.py
+++ b/frostfall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m frostfall`: one agent; with words behind it, the command line."""
+"""Entry point: `python -m frostfall` runs one agent; with arguments, it runs the command line."""
 
 import sys
 
@@ -6,7 +6,8 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from frostfall.cli import main as command  # what the platform runs pays nothing for it
+        # Imported here so that an agent started by the platform does not load the command line.
+        from frostfall.cli import main as command
 
         command(prog_name="frostfall")
     sys.exit(main())
--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -1,4 +1,4 @@
-"""Reads, checks and completes an agent's configuration and the operator file; faults raise ConfigError."""
+"""Loads and validates an agent's configuration and the operator file; a fault raises ConfigError."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the message names the faulty key."""
+    """The configuration is invalid; the message names the faulty key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,21 +38,21 @@
     port: int
 
     def __str__(self) -> str:
-        """As it stands in the configuration."""
+        """Return `host:port`."""
         return f"{self.host}:{self.port}"
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """The machine's resources that the agent may use."""
+    """The resources of the machine that the agent may use."""
 
     cores: float = 1.0
     memory_mb: int = 192
-    sockets: int = 1024  # open file descriptors, at least MIN_SOCKETS
+    sockets: int = 1024  # maximum of open file descriptors, at least MIN_SOCKETS
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The complete, checked configuration of one agent."""
+    """The complete, validated configuration of one agent."""
 
     name: str
     listen: Address
@@ -71,14 +71,14 @@
 
 
 class _RolloutApi(msgspec.Struct):
-    """Where the rollout API is, and the state of the rollout when the file was written."""
+    """The address of the rollout API, and the state of the rollout when the file was written."""
 
     address: str
     news: dict[str, Any] | None = None
 
 
 class _ConfigFile(msgspec.Struct):
-    """The configuration file; the names of fields that are not renamed are its keys."""
+    """The configuration file; its keys are the field names, or `name=` where the key differs."""
 
     settings: dict[str, Any]
     name: str = ""
@@ -96,7 +96,10 @@
 
 
 class _OperatorFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The operator file; its section `group` is checked apart, as its type is loaded only where it is set."""
+    """The operator file.
+
+    The section `group` is validated separately, because its type is imported only if the section is present.
+    """
 
     slow_peers: SlowPeerOptions | None = None
     logging: LoggingOptions = LoggingOptions()
@@ -105,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _KeyFault:
-    """What is wrong with one key of the operator file."""
+    """A fault of one key of the operator file, with the line of the key."""
 
     line: int
     key: str
@@ -113,7 +116,7 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment variables name; ConfigError if it cannot be used."""
+    """Load the files that the environment variables name; ConfigError if one of them is invalid."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG: not set; it names the configuration's file")
@@ -125,7 +128,7 @@
 
 
 def read_file(path: str, key: str) -> bytes:
-    """The content of a file; ConfigError names `key`, by which the path was given."""
+    """Return the content of a file; ConfigError names `key`, the setting that holds the path."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
@@ -133,7 +136,7 @@
 
 
 def parse(text: bytes, environment: Mapping[str, str], options: Options | None = None) -> Config:
-    """Check a configuration, JSON; environment variables and defaults fill in what it leaves out."""
+    """Parse and validate a JSON configuration; environment variables and defaults supply missing keys."""
     file = _decode_config_file(text)
     settings = _parse_settings(file.settings)
     _check_limits(file.limits)
@@ -164,14 +167,14 @@
 
 
 def parse_operator_file(text: bytes, name: str) -> Options:
-    """Check an operator file, JSON5; ConfigError names the file, the line and the key."""
+    """Parse and validate a JSON5 operator file; ConfigError names the file, the line and the key."""
     source = _decode_text(text, name)
     content = _decode_json5(source, name)
     try:
         file = msgspec.convert(content, _OperatorFile)
         if file.group is None:
             return Options(slow_peers=file.slow_peers, logging=file.logging)
-        # Imported here, so that an agent without a group does not load its modules.
+        # Imported here so that an agent without a group does not load the modules of groups.
         from frostfall.group_options import GroupSection
 
         group = msgspec.convert({"group": file.group}, GroupSection).group
@@ -182,7 +185,7 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Read `host:port`, with the host an IP address; ConfigError names `key`."""
+    """Parse `host:port`, where the host is an IP address; ConfigError names `key`."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -276,20 +279,20 @@
 
 
 def _check_membership(name: str, options: Options) -> None:
-    """The agent's own name must be among the group's active members."""
+    """Raise ConfigError unless the agent is an active member of its group."""
     if options.group and name not in [member.name for member in options.group.active_members]:
         raise ConfigError(f"group.members: {name!r}, this agent's name, is not among those that are not gone")
 
 
 def _check_class_names(options: Options, settings: deployment.Settings) -> None:
-    """The options' request classes must all be named in the settings."""
+    """Raise ConfigError if the options name a request class that the settings do not define."""
     if options.slow_peers is None:
         return
-    known = {request_class.name for request_class in settings.classes}
+    class_names = {request_class.name for request_class in settings.classes}
     slow_peers = options.slow_peers
     for side, names in (("clients", slow_peers.clients.classes), ("servers", slow_peers.servers.classes)):
         for name in names:
-            if name not in known:
+            if name not in class_names:
                 raise ConfigError(f"slow_peers.{side}.classes.{name}: no class of the settings")
 
 
@@ -301,8 +304,8 @@
 
 
 def _decode_json5(source: str, name: str) -> Any:
-    """The content of a JSON5 text, which may be of any type."""
-    import json5  # imported here, so that an agent without an operator file does not load it
+    """Decode a JSON5 text, whose value may be of any type."""
+    import json5  # imported here so that an agent without an operator file does not load it
 
     try:
         return json5.loads(source, allow_duplicate_keys=False, strict=True)
@@ -317,14 +320,14 @@
 
 
 def _locate_fault(source: str, message: str) -> _KeyFault:
-    """The line, the key and the reason, from the message of msgspec's ValidationError."""
+    """Extract the key and the reason from the message of a msgspec ValidationError, and find the line."""
     reason, _, path = message.partition(" - at `")
     steps = list(parse_path(path.rstrip("`")))
     checked_key, colon, checked_reason = reason.partition(": ")
     if field := re.search(r"(unknown )?field `([^`]*)`", reason):
         steps.append(field[2])
         reason = "is no key here" if field[1] else "is missing"
-    elif colon and checked_key.isidentifier():  # from a __post_init__, which names the key first
+    elif colon and checked_key.isidentifier():  # raised by a __post_init__ as `key: reason`
         steps.append(checked_key)
         reason = checked_reason
     return _KeyFault(find_line(source, tuple(steps)), ".".join(steps) or "the file", reason)
--- a/frostfall/group_options.py
+++ b/frostfall/group_options.py
@@ -1,4 +1,4 @@
-"""Options of a group of agents: the section `group` of the operator file, with its defaults."""
+"""The options of a group of agents: the section `group` of the operator file, with its defaults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from frostfall.replication.options import ReplicationOptions
 from frostfall.storage.options import StorageOptions
 
-MIN_KEY_CHARACTERS = 16  # characters
+MIN_KEY_CHARACTERS = 16
 MAX_PORT = 65_535
 
 _MEMBER_NAME = re.compile(r"[0-9A-Za-z_.:-]{1,64}\Z")
@@ -41,39 +41,39 @@
 
 
 class MemberOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One member of the group; `zone` and `region` as operators name them."""
+    """One member of the group; operators choose the names of `zone` and `region`."""
 
     name: str
     address: str
     zone: str = ""
     region: str = ""
-    gone: bool = False  # removed for good; replicas of its record are still read
+    gone: bool = False  # removed permanently; replicas of its records are still read
 
     def __post_init__(self) -> None:
-        """Check the name and the address; ValueError names the key."""
+        """Validate the name and the address; ValueError names the key."""
         if not _MEMBER_NAME.match(self.name):
             raise ValueError(f"name: {self.name!r} is not 1 to 64 letters, digits or _.:-")
         _check_address(self.address, key="address")
 
 
 class GroupOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole section; an agent without it stores nothing and belongs to no group."""
+    """The section `group`; an agent without it stores nothing and belongs to no group."""
 
-    data: str  # the directory of the log, which outlives a power loss
-    key: str  # shared by all members
+    data: str  # the directory of the write-ahead log, which survives a power loss
+    key: str  # the secret that all members share
     members: tuple[MemberOptions, ...]
-    listen: str = ""  # address to listen at, if not that of its own entry in `members`
-    operation: str = ""  # the comment field that names an operation; "": the statement's id
-    new: bool = False  # the group is being set up: an empty directory is a first start, not a loss
-    retries_marked: bool = False  # clients mark each attempt after an operation's first as a retry
+    listen: str = ""  # the address to listen on; "": the address of this agent's entry in `members`
+    operation: str = ""  # the field of the SQL comment that names an operation; "": the statement's id
+    new: bool = False  # the group is being set up, so an empty directory means a first start, not a data loss
+    retries_marked: bool = False  # clients mark every attempt of an operation but the first as a retry
     store: StorageOptions = StorageOptions()
-    copies: ReplicationOptions | None = None  # without it, a member's record is on its own disk only
-    agreement: bool = False  # whether members keep a common register by consensus
-    turns: HeartbeatOptions = HeartbeatOptions()
-    waits: StartupTimeouts = StartupTimeouts()
+    copies: ReplicationOptions | None = None  # None: a member's records are stored on its own disk only
+    agreement: bool = False  # members maintain a common register by consensus (Raft)
+    turns: HeartbeatOptions = HeartbeatOptions()  # heartbeats and failure detection
+    waits: StartupTimeouts = StartupTimeouts()  # timeouts of the stages of a start
 
     def __post_init__(self) -> None:
-        """Check that the options fit together; ValueError names the key."""
+        """Validate the options and their combination; ValueError names the key."""
         if not self.data:
             raise ValueError("data: no folder is named")
         if len(self.key) < MIN_KEY_CHARACTERS:
@@ -104,11 +104,11 @@
 
     @property
     def active_members(self) -> tuple[MemberOptions, ...]:
-        """The members that are not removed for good."""
+        """The members that are not marked as `gone`."""
         return tuple(member for member in self.members if not member.gone)
 
 
 class GroupSection(msgspec.Struct, frozen=True):
-    """The section under its name, so that errors name the full path of a key."""
+    """An object that holds the section under its key, so that errors name the full path of a key."""
 
     group: GroupOptions
--- a/frostfall/json5_locations.py
+++ b/frostfall/json5_locations.py
@@ -1,4 +1,4 @@
-"""Finds the line of a key in a JSON5 text that has already been parsed, for messages that name the key."""
+"""Finds the line of a key in a valid JSON5 text, for error messages that name the key."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Key:
-    """A key of an object, with the keys and array indices that lead to it from the root."""
+    """A key of an object, with its path: the keys and array indices from the root down to the key."""
 
     path: tuple[str, ...]
-    offset: int  # characters from the start of the text
+    offset: int  # in characters from the start of the text
 
 
 def parse_path(path: str) -> tuple[str, ...]:
-    """The steps of a path as msgspec writes it, `$.a.b[2]`; array indices are text too."""
+    """Split a path of msgspec, such as `$.a.b[2]`, into steps; array indices are strings too."""
     return tuple(name or index for name, index in _PATH_STEP.findall(path))
 
 
 def find_line(text: str, path: tuple[str, ...]) -> int:
-    """The line, from 1, of the key at `path`, or of its innermost enclosing key that is in the text.
+    """Return the line number (from 1) of the key at `path`, or of its innermost ancestor in the text.
 
-    A step `...` matches any key or index; the first match counts. Without any match the line is 1.
+    A step `...` matches any key or index, and the first match wins. If nothing matches, the result is 1.
     """
     line, depth = 1, 0
     for key in _keys(text):
@@ -46,14 +46,14 @@
 
 
 def _is_prefix(key_path: tuple[str, ...], path: tuple[str, ...]) -> bool:
-    return all(wanted in (step, _ANY_STEP) for wanted, step in zip(path, key_path))
+    return all(expected in (step, _ANY_STEP) for expected, step in zip(path, key_path))
 
 
 def _keys(text: str) -> Iterator[_Key]:
-    """All keys of all objects, in the order of the text."""
-    path: list[str | int] = []  # one step for each enclosing container: an object's key or an array's index
+    """Yield the keys of all objects, in the order of the text."""
+    path: list[str | int] = []  # for each enclosing container, the current key or index
     tokens = list(_tokens(text))
-    for token, following in zip(tokens, [*tokens[1:], None]):
+    for token, next_token in zip(tokens, [*tokens[1:], None]):
         match token["punctuation"]:
             case "{":
                 path.append("")
@@ -66,14 +66,14 @@
                 if path and isinstance(path[-1], int):
                     path[-1] += 1
             case None:
-                is_key = following is not None and following["punctuation"] == ":"
+                is_key = next_token is not None and next_token["punctuation"] == ":"
                 if is_key and path and isinstance(path[-1], str):
                     path[-1] = token[0] if token["string"] is None else token[0][1:-1]
                     yield _Key(tuple(str(step) for step in path), token.start())
 
 
 def _tokens(text: str) -> Iterator[re.Match[str]]:
-    """The tokens without whitespace and comments, up to the first character that begins none."""
+    """Yield the tokens, without whitespace and comments, up to the first character that starts no token."""
     offset = 0
     while match := _TOKEN.match(text, offset):
         offset = match.end()
--- a/frostfall/log.py
+++ b/frostfall/log.py
@@ -1,4 +1,4 @@
-"""Logging: JSON lines on standard error."""
+"""Structured logging: JSON lines on standard error."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class LossyOutput:
-    """A text stream whose failures are swallowed: a full disk or a closed pipe must not end what logs."""
+    """A text stream that ignores write errors: a full disk or a closed pipe must not end the program."""
 
     def __init__(self, stream: TextIO) -> None:
-        """Write to this stream as long as it takes anything."""
+        """Wrap `stream`."""
         self._stream = stream
 
     def write(self, text: str) -> int:
-        """Write a line, or drop it."""
+        """Write the text, or drop it if the stream fails."""
         with suppress(OSError, ValueError):
             return self._stream.write(text)
         return 0
 
     def flush(self) -> None:
-        """Hand on what was written, if that can be done."""
+        """Flush the stream, ignoring a failure."""
         with suppress(OSError, ValueError):
             self._stream.flush()
 
 
 def configure(level: str) -> None:
-    """Log from this level on, for all agents of this process."""
+    """Configure logging from `level` upwards, for all agents of this process."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -47,10 +47,10 @@
 
 
 def bind_agent_name(name: str) -> AbstractContextManager[None]:
-    """Let every line name this agent, from here and from the tasks that start here."""
+    """Add the agent's name to each log line of the context, including the tasks started in it."""
     return structlog.contextvars.bound_contextvars(agent=name)
 
 
 def get_logger(part: str) -> Any:
-    """The log of one part of the program."""
+    """Return the logger of one part of the program."""
     return structlog.get_logger(part=part)
--- a/frostfall/options.py
+++ b/frostfall/options.py
@@ -1,7 +1,7 @@
-"""The operator file's options, beyond the platform's configuration.
+"""The options of the operator file, which supplements the platform's configuration.
 
-Each section is defined, with its defaults, in the package that it configures. A section that is left out
-switches its feature off.
+Each section, with its defaults, is defined in the package that it configures. If `slow_peers` or `group` is
+missing, the feature is off.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 from frostfall.limits.options import SlowPeerOptions
 
-if TYPE_CHECKING:  # an agent without a group does not load its modules
+if TYPE_CHECKING:  # An agent without a group does not load the modules of groups.
     from frostfall.group_options import GroupOptions
 
 
 class LoggingOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the log holds beyond its level."""
+    """The log lines that are written in addition to those of the log level."""
 
-    requests: bool = False  # a line for each step of each request
+    requests: bool = False  # log each step of each request
 
 
 class Options(msgspec.Struct, frozen=True):
-    """The checked content of an operator file; the defaults stand for none."""
+    """The validated content of an operator file; the defaults apply if there is no file."""
 
     slow_peers: SlowPeerOptions | None = None
     group: GroupOptions | None = None
--- a/frostfall/program.py
+++ b/frostfall/program.py
@@ -1,4 +1,4 @@
-"""The program: one agent that runs until a signal stops it."""
+"""The main program: runs one agent until a signal stops it."""
 
 import os
 import signal
@@ -11,15 +11,15 @@
 
 
 async def serve(agent: Agent) -> str | None:
-    """Run the agent until SIGTERM or SIGINT; why it cannot listen, if so."""
+    """Run the agent until SIGTERM or SIGINT; return the reason if it cannot listen, else None."""
     fault: str | None = None
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         async with anyio.create_task_group() as task_group:
 
             async def handle_signals() -> None:
-                async for number in signals:
-                    if number == signal.SIGHUP:
+                async for signal_number in signals:
+                    if signal_number == signal.SIGHUP:
                         reload(agent)
                     else:
                         agent.stop()
@@ -30,13 +30,13 @@
             except OSError as error:
                 fault = error.strerror or str(error)
             task_group.cancel_scope.cancel()
-        # Without the receiver, a SIGHUP would kill a process that is ending by itself.
+        # Without the receiver, a SIGHUP would kill a process that is already shutting down.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     return fault
 
 
 def reload(agent: Agent) -> None:
-    """Adopt the configuration as it is now; an unusable one changes nothing."""
+    """Reload the configuration from its files; an invalid one is logged and changes nothing."""
     try:
         agent.reload(config.load(os.environ))
     except config.ConfigError as error:
@@ -44,9 +44,9 @@
 
 
 def main() -> int:
-    """Read the configuration and serve; errors go to standard error as one line."""
-    # A SIGHUP between reading the configuration and receiving signals would be lost, and with it a change of
-    # addresses; so from here on it stays pending until the receiver is up.
+    """Load the configuration and run the agent; an error is written to standard error as one line."""
+    # SIGHUP stays pending until the signal receiver runs. Otherwise a SIGHUP that arrives while the
+    # configuration is read would be lost, and with it a change of addresses.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         loaded = config.load(os.environ)
--- a/frostfall/settings.py
+++ b/frostfall/settings.py
@@ -1,8 +1,8 @@
-"""Decodes an instance's settings, from its configuration file or from the simulator's first message.
+"""Decodes an agent's settings, from its configuration file or from the simulator's first message.
 
-The structs mirror the settings' objects: a field is named after its concept, and `name=` gives the key where
-the settings call it differently. Unknown keys are skipped; a missing or mistyped one is an error that names
-the key.
+The structs mirror the objects of the settings. Their fields have the project's names; `name=` gives the key
+where the settings use a different one. Unknown keys are ignored; a missing key or a value of the wrong type
+is an error that names the key.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 
 class SettingsError(ValueError):
-    """The settings cannot be used; the message names the key."""
+    """The settings are invalid; the message names the faulty key."""
 
 
 class _RequestClass(msgspec.Struct, rename="camel"):
-    """A class of requests."""
+    """A request class."""
 
     name: str
     latency_objective_us: int = field(name="aimUs")
@@ -50,7 +50,7 @@
 
 
 class _Tenant(msgspec.Struct, rename="camel"):
-    """A customer of the site."""
+    """A tenant of the site."""
 
     name: str
     quota_per_s: float = 0.0
@@ -58,7 +58,7 @@
 
 
 class _Rollout(msgspec.Struct, rename="camel"):
-    """How new builds are released."""
+    """The rules of a rollout, by which new builds are released."""
 
     control: str = "first_voice"
     stage_caps: list[float] = field(default_factory=list, name="caps")
@@ -87,7 +87,7 @@
 
 
 class _Limits(msgspec.Struct, rename="camel"):
-    """What the site permits."""
+    """The features that the site permits, and their limits."""
 
     max_attempts: int = 1
     parallel_attempts: bool = field(default=False, name="parallelTries")
@@ -101,7 +101,7 @@
 
 
 class _Rules(msgspec.Struct, rename="camel"):
-    """The site's rules, by which the agent is judged."""
+    """The site's rules, against which the agent's behaviour is assessed."""
 
     answer_slack_us: int = field(default=0, name="graceToAnswerUs")
     drain_grace_us: int = field(default=0, name="stopSendingWithinUs")
@@ -113,7 +113,7 @@
 
 
 class _Prices(msgspec.Struct, rename="camel"):
-    """The site's deductions."""
+    """The costs that the site charges for actions and faults of the agent."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -123,14 +123,14 @@
 
 
 class _LoadReporting(msgspec.Struct, rename="camel"):
-    """How servers report their load."""
+    """The way in which servers report their load."""
 
     how: str = "off"
     fields: list[str] = field(default_factory=list)
 
 
 class _Settings(msgspec.Struct, rename="camel"):
-    """The settings of an instance."""
+    """The settings of one agent."""
 
     ordinal: int
     instance_count: int = field(name="nInstances")
@@ -148,7 +148,7 @@
 
 
 def decode_settings(content: dict[str, Any]) -> deployment.Settings:
-    """The settings of an instance in the project's terms; SettingsError names the key at fault."""
+    """Convert an agent's settings to the deployment's types; SettingsError names the faulty key."""
     try:
         raw = msgspec.convert(content, _Settings)
     except msgspec.MsgspecError as error:
@@ -157,7 +157,7 @@
         agent=raw.ordinal,
         agents=max(1, raw.instance_count),
         zone=raw.zone,
-        classes=tuple(_request_class(each) for each in raw.classes),
+        classes=tuple(_request_class(raw_class) for raw_class in raw.classes),
         tenants=tuple(
             deployment.Tenant(tenant.name, tenant.quota_per_s, tenant.share) for tenant in raw.tenants
         ),
@@ -172,7 +172,7 @@
 
 
 def decode_load_report(report: dict[str, float] | None) -> api.LoadReport | None:
-    """A load report in the project's terms; None where there is none. Values that cannot be are left out."""
+    """Convert a load report, or return None if it is missing; negative and non-finite values are dropped."""
     if not report:
         return None
     valid = {name: value for name, value in report.items() if math.isfinite(value) and value >= 0}
@@ -185,11 +185,11 @@
     )
 
 
-def _translate(table: dict[str, _T], value: str, what: str) -> _T:
+def _translate(table: dict[str, _T], value: str, description: str) -> _T:
     try:
         return table[value]
     except KeyError:
-        raise SettingsError(f"unknown {what} {value!r}") from None
+        raise SettingsError(f"unknown {description} {value!r}") from None
 
 
 def _request_class(raw: _RequestClass) -> deployment.RequestClass:
