--- a/frostfall/cli/__init__.py
+++ b/frostfall/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The command line: `frostfall run`, `check`, `bench` and `group`. `python -m frostfall` alone loads none."""
+"""The command line: `frostfall run`, `check`, `bench` and `group`.
+
+`python -m frostfall` without arguments does not load this package.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from frostfall.cli.group_commands import group
 from frostfall.options import Options
 
-EXIT_UNUSABLE_FILE = 2
+EXIT_INVALID_FILE = 2
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -65,8 +68,8 @@
     Where both kinds are given, each operator file is also checked against each configuration.
     """
     faults = 0
-    options: dict[str, Options] = {}  # by operator file
-    for path in sorted(files, key=lambda each: not _is_operator_file(each)):
+    options: dict[str, Options] = {}  # by the path of the operator file
+    for path in sorted(files, key=lambda file: not _is_operator_file(file)):
         try:
             if _is_operator_file(path):
                 options[path] = config.parse_operator_file(config.read_file(path, "file"), path)
@@ -77,7 +80,7 @@
             faults += 1
             prefix = "" if str(error).startswith(path) else f"{path}: "
             click.echo(f"{prefix}{error}", err=True)
-    sys.exit(EXIT_UNUSABLE_FILE if faults else 0)
+    sys.exit(EXIT_INVALID_FILE if faults else 0)
 
 
 def _is_operator_file(path: str) -> bool:
@@ -85,7 +88,7 @@
 
 
 def _check_configuration(path: str, options: dict[str, Options]) -> None:
-    """Check a configuration by itself, and with the options of each operator file."""
+    """Validate a configuration alone, and in combination with the options of each operator file."""
     text = config.read_file(path, "file")
     config.parse(text, os.environ)
     for operator_path, operator_options in options.items():
--- a/frostfall/cli/group_commands.py
+++ b/frostfall/cli/group_commands.py
@@ -1,4 +1,4 @@
-"""`frostfall group`: operators' commands to the members of a group of agents."""
+"""`frostfall group`: commands with which operators inspect and control the members of a group of agents."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 HOLD_COMMANDS = ("hold", "lift")
 
-_OPERATOR = click.option(
+_OPERATOR_OPTION = click.option(
     "--operator",
     envvar="FROSTFALL_OPERATOR",
     required=True,
     type=click.Path(dir_okay=False),
     help="An operator file with a section `group`.",
 )
-_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object a member.")
-_MEMBERS = click.argument("members", nargs=-1)
-_BY = click.option("--by", default=lambda: os.environ.get("USER", "operator"), help="Who says so.")
+_JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object a member.")
+_MEMBERS_ARGUMENT = click.argument("members", nargs=-1)
+_BY_OPTION = click.option("--by", default=lambda: os.environ.get("USER", "operator"), help="Who says so.")
 
 
 @dataclass(frozen=True, slots=True)
 class _Member:
-    """A member of the group, as the operator file has it."""
+    """The name and address of a member, from the operator file."""
 
     name: str
     address: config.Address
 
 
 @dataclass(frozen=True, slots=True)
-class _Targets:
-    """The members to which a command goes, and the key that the group shares."""
+class _CommandTargets:
+    """The members to which a command is sent, and the secret key that the group shares."""
 
     shared_key: str
     members: list[_Member]
 
 
-class _MemberNotReachedError(Exception):
-    """A member gave no report; the message says why."""
+class _MemberUnreachableError(Exception):
+    """A member returned no report; the message gives the reason."""
 
 
 @click.group()
@@ -60,17 +60,17 @@
     type=click.Path(dir_okay=False),
     help="An operator file with a section `group` and `agreement`.",
 )
-@_BY
+@_BY_OPTION
 @click.argument("key")
 @click.argument("value")
 def group_put(operator: str, by: str, key: str, value: str) -> None:
     """Set a key of the register that members keep in common, at whoever leads."""
-    targets = _targets(operator, ())
+    targets = _load_targets(operator, ())
     reason = "nobody leads"
     for member in targets.members:
         try:
             fields = _send(member, targets.shared_key, "put", by, register_key=key, value=value)
-        except _MemberNotReachedError as error:
+        except _MemberUnreachableError as error:
             reason = f"{member.name}: not reached: {error}"
             continue
         if fields.get("put"):
@@ -87,18 +87,18 @@
 
 
 @group.command("status")
-@_OPERATOR
-@_JSON
-@_MEMBERS
+@_OPERATOR_OPTION
+@_JSON_OPTION
+@_MEMBERS_ARGUMENT
 def group_status(operator: str, as_json: bool, members: tuple[str, ...]) -> None:
     """Show each member's gates, what it waits for and why, and how it sees the others."""
     _command_members(operator, members, "status", "", as_json)
 
 
 @group.command("accept")
-@_OPERATOR
-@_JSON
-@_BY
+@_OPERATOR_OPTION
+@_JSON_OPTION
+@_BY_OPTION
 @click.argument("members", nargs=-1, required=True)
 def group_accept(operator: str, as_json: bool, by: str, members: tuple[str, ...]) -> None:
     """Accept that these members' records lack what was lost: what they do not know counts as never run."""
@@ -106,27 +106,27 @@
 
 
 @group.command("hold")
-@_OPERATOR
-@_JSON
-@_BY
-@_MEMBERS
+@_OPERATOR_OPTION
+@_JSON_OPTION
+@_BY_OPTION
+@_MEMBERS_ARGUMENT
 def group_hold(operator: str, as_json: bool, by: str, members: tuple[str, ...]) -> None:
     """Hold members' votes on builds, over restarts too, until `lift`."""
     _command_members(operator, members, "hold", by, as_json)
 
 
 @group.command("lift")
-@_OPERATOR
-@_JSON
-@_BY
-@_MEMBERS
+@_OPERATOR_OPTION
+@_JSON_OPTION
+@_BY_OPTION
+@_MEMBERS_ARGUMENT
 def group_lift(operator: str, as_json: bool, by: str, members: tuple[str, ...]) -> None:
     """Let members vote again."""
     _command_members(operator, members, "lift", by, as_json)
 
 
-def _targets(operator: str, names: tuple[str, ...]) -> _Targets:
-    """The members of these names, or all active ones."""
+def _load_targets(operator: str, names: tuple[str, ...]) -> _CommandTargets:
+    """Load the named members, or all active members, from the operator file; ClickException on a fault."""
     try:
         options = config.parse_operator_file(config.read_file(operator, "operator"), operator).group
         if options is None:
@@ -140,14 +140,15 @@
                 raise config.ConfigError(f"{name}: no member of {', '.join(members)}")
     except config.ConfigError as error:
         raise click.ClickException(str(error)) from None
-    return _Targets(options.key, [members[name] for name in names or members])
+    return _CommandTargets(options.key, [members[name] for name in names or members])
 
 
 def _send(
     member: _Member, shared_key: str, command: str, by: str, *, register_key: str = "", value: str = ""
 ) -> dict[str, Any]:
-    """Give a member a command; the fields of its report."""
-    import anyio  # these are loaded only where members are spoken to
+    """Send a command to a member and return the fields of its report."""
+    # Imported here so that other commands do not load the modules of the member connections.
+    import anyio
 
     from frostfall.net.member_transport import send_operator_command
     from frostfall.net.streams import STREAM_ERRORS
@@ -158,21 +159,21 @@
             send_operator_command, member.address, shared_key, command, by, register_key, value
         ).fields
     except (OSError, MemberProtocolError, *STREAM_ERRORS) as error:
-        raise _MemberNotReachedError(str(error) or type(error).__name__) from error
+        raise _MemberUnreachableError(str(error) or type(error).__name__) from error
 
 
 def _command_members(operator: str, names: tuple[str, ...], command: str, by: str, as_json: bool) -> None:
-    """Give members a command and show their reports; exit with 1 where one did not carry it out in full."""
-    targets = _targets(operator, names)
+    """Send a command to members and print their reports; exit with 1 if a member did not complete it."""
+    targets = _load_targets(operator, names)
     faults = 0
     for member in targets.members:
         try:
             fields = _send(member, targets.shared_key, command, by)
-        except _MemberNotReachedError as error:
+        except _MemberUnreachableError as error:
             faults += 1
             click.echo(f"{member.name}: not reached: {error}", err=True)
             continue
-        # As JSON a report is shown as it came, whichever version of the program the member runs.
+        # JSON output prints the report unchanged, including fields that only the member's version has.
         text = (
             msgspec.json.encode(fields) if as_json else format_report(msgspec.convert(fields, MemberReport))
         )
--- a/frostfall/cli/member_report.py
+++ b/frostfall/cli/member_report.py
@@ -1,4 +1,4 @@
-"""A member's report to operators, and its form as text."""
+"""The report of a group member to operators, and its rendering as text."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 
 
 class ReadinessCondition(msgspec.Struct, array_like=True):
-    """How far one stage of a member's start is."""
+    """The readiness condition of one stage of a member's start."""
 
     status: str
     reason: str | None
-    since: float  # seconds after the start
+    since: float  # time of the last change, in seconds after the start
 
 
 class PeerReport(msgspec.Struct, array_like=True):
-    """How a member sees another one."""
+    """The state of another member, as the reporting member observes it."""
 
     state: str
     incarnation: int
     readiness_stage: str | None
     incomplete_reason: str | None
-    clock_offset: float  # seconds by which the other's clock is ahead
+    clock_offset: float  # seconds by which the other member's clock is ahead
 
 
 class RegisterEntry(msgspec.Struct, array_like=True):
-    """A key's value in the register that members keep in common."""
+    """A value, with its version, in the members' common register."""
 
     value: Any
     version: int
 
 
 class CommandResult(msgspec.Struct):
-    """What a report says of the command itself; a report without a word on it counts as carried out."""
+    """The result of a command in a report; if the fields are missing, the command counts as completed."""
 
-    is_stored: bool = field(default=True, name="kept")  # the command is on the member's disk
-    is_replicated: bool = field(default=True, name="copied")  # and on enough others'
+    is_stored: bool = field(default=True, name="kept")  # stored on the member's own disk
+    is_replicated: bool = field(default=True, name="copied")  # stored by enough other members
 
 
 class MemberReport(msgspec.Struct):
-    """What is shown of a report's fields; `name=` gives their names on the wire."""
+    """The fields of a report that are printed; `name=` gives the name on the wire where it differs."""
 
     name: str
     incarnation: int = field(name="life")
@@ -58,13 +58,13 @@
     votes_held_by: str | None = field(name="held")
     conditions: dict[str, ReadinessCondition] = field(name="gates")
     peers: dict[str, PeerReport] = field(name="members")
-    leader: str | msgspec.UnsetType | None = msgspec.UNSET  # unset where members keep no register
+    leader: str | msgspec.UnsetType | None = msgspec.UNSET  # unset if the members have no register
     term: int = 0
     register: dict[str, RegisterEntry] = field(default_factory=dict)
 
 
 def format_report(report: MemberReport) -> str:
-    """A member's report as lines for operators."""
+    """Render a report as lines of text for operators."""
     lines = [
         f"{report.name}: life {report.incarnation}, record {report.log_condition}, {report.operations} "
         f"operations, {report.segments} segments of {report.total_bytes / BYTES_PER_MB:.1f} MB"
--- a/frostfall/simulator/__init__.py
+++ b/frostfall/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the simulator: hosts agents' policy engines on its line protocol."""
+"""Adapter to the simulator: runs the policy engines of agents on the simulator's line protocol."""
