--- a/frostfall/config.py
+++ b/frostfall/config.py
@@ -279,7 +279,7 @@
 
 
 def _check_membership(name: str, options: Options) -> None:
-    """Raise ConfigError unless the agent is an active member of its group."""
+    """Raise ConfigError if a group is configured and the agent is not one of its active members."""
     if options.group and name not in [member.name for member in options.group.active_members]:
         raise ConfigError(f"group.members: {name!r}, this agent's name, is not among those that are not gone")
 
--- a/frostfall/program.py
+++ b/frostfall/program.py
@@ -45,8 +45,8 @@
 
 def main() -> int:
     """Load the configuration and run the agent; an error is written to standard error as one line."""
-    # SIGHUP stays pending until the signal receiver runs. Otherwise a SIGHUP that arrives while the
-    # configuration is read would be lost, and with it a change of addresses.
+    # SIGHUP stays pending until the signal receiver runs. Otherwise a SIGHUP between reading the
+    # configuration and receiving signals would be lost, and with it a change of addresses.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         loaded = config.load(os.environ)
--- a/frostfall/simulator/host.py
+++ b/frostfall/simulator/host.py
@@ -10,7 +10,7 @@
 from frostfall.simulator import messages as wire
 
 BATCH_REPLIED = b'{"verb":"finished"}\n'
-# The prefix of the error line is part of the interface; it does not match the name of this package.
+# The name of an earlier package, kept because readers of standard error know the line by this prefix.
 ERROR_PREFIX = "frostfall.wirehost"
 EXIT_BROKEN_PIPE = 1
 EXIT_MALFORMED_INPUT = 2
