--- a/frostfall/net/agent.py
+++ b/frostfall/net/agent.py
@@ -159,9 +159,9 @@
         """Pass an event to the policy engine; events posted while it is handled are queued."""
         self._driver.post(event)
 
-    def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
+    def conclude(self, request: str, answer: bytes, outcome: FinalOutcome) -> None:
         """Send the final answer of a request and cancel the attempts that the engine has in flight for it."""
-        self.requests.conclude(request, answer, end)
+        self.requests.conclude(request, answer, outcome)
 
     def _engine_failed(self, event: api.Event) -> None:
         self.requests.fail_after_fault(event)
--- a/frostfall/net/operations/coordinator.py
+++ b/frostfall/net/operations/coordinator.py
@@ -185,7 +185,7 @@
     def _may_be_retry(self, statement: Statement) -> bool:
         return statement.is_retry or not self._context.options.retries_marked
 
-    async def authorize_dispatch(self, request: str, is_over: Callable[[], bool], deadline: int) -> bool:
+    async def authorize_dispatch(self, request: str, is_obsolete: Callable[[], bool], deadline: int) -> bool:
         """Wait until an attempt may be sent to a server; return False if it must not be sent.
 
         No task switch happens between the last check and the return of True.
@@ -193,7 +193,7 @@
         operation = self._operations.get(request)
         if operation is None:
             return True
-        return await self._authorizer.authorize(request, operation, is_over, deadline)
+        return await self._authorizer.authorize(request, operation, is_obsolete, deadline)
 
     def attempt_ended(self, request: str, ending: AttemptResult) -> None:
         """Record the end of an attempt, even if its request is already answered."""
@@ -206,7 +206,12 @@
             operation.may_have_run = True
 
     def finish_request(
-        self, request: str, answer: bytes, end: FinalOutcome, client: WaitingClient, all_attempts_ended: bool
+        self,
+        request: str,
+        answer: bytes,
+        outcome: FinalOutcome,
+        client: WaitingClient,
+        all_attempts_ended: bool,
     ) -> None:
         """Send a request's final answer; a served non-idempotent operation is answered once it is durable.
 
@@ -218,13 +223,13 @@
             return
         if all_attempts_ended:
             del self._operations[request]
-        if end is FinalOutcome.SERVED:
+        if outcome is FinalOutcome.SERVED:
             self._finish_served(operation, attempt, answer)
             return
-        if end is FinalOutcome.REJECTED and operation.needs_poll and not operation.confirmed_absent:
+        if outcome is FinalOutcome.REJECTED and operation.needs_poll and not operation.confirmed_absent:
             self._reject_if_absent(operation, attempt, answer)
             return
-        has_run = end is FinalOutcome.FAILED and operation.dispatched
+        has_run = outcome is FinalOutcome.FAILED and operation.dispatched
         self._endings.end(operation, RecordState.FAILED if has_run else RecordState.NOT_EXECUTED)
         attempt.notify(answer)
         self._endings.notify(operation, answer)
--- a/frostfall/net/operations/dispatch.py
+++ b/frostfall/net/operations/dispatch.py
@@ -36,7 +36,7 @@
         self._endings = endings
 
     async def authorize(
-        self, request: str, operation: Operation, is_over: Callable[[], bool], deadline: int
+        self, request: str, operation: Operation, is_obsolete: Callable[[], bool], deadline: int
     ) -> bool:
         """Wait until an attempt may be sent; return False if it must not be, after answering the request.
 
@@ -48,13 +48,13 @@
             # An earlier attempt may have failed here and another one may have been served elsewhere.
             await self._answer_from_members(request, operation, deadline)
             return False
-        if not await self._wait_intent(operation, is_over, deadline):
+        if not await self._wait_intent(operation, is_obsolete, deadline):
             await self._answer_without_intent(request, operation, deadline)
             return False
         must_poll = operation.needs_poll and not operation.confirmed_absent
         if must_poll and not await self._confirm_absent(request, operation, deadline):
             return False
-        allowed = not is_over() and self._may_dispatch(operation)
+        allowed = not is_obsolete() and self._may_dispatch(operation)
         # Set before the write: if set afterwards, a disk failure in between would make the operation look as
         # if no attempt had been sent.
         operation.dispatched = operation.dispatched or allowed
@@ -83,7 +83,9 @@
         replication = self._context.replication
         return replication is None or replication.has_write_quorum(operation.acknowledged_by)
 
-    async def _wait_intent(self, operation: Operation, is_over: Callable[[], bool], deadline: int) -> bool:
+    async def _wait_intent(
+        self, operation: Operation, is_obsolete: Callable[[], bool], deadline: int
+    ) -> bool:
         """Wait until the intent is durable here and, if replication is on, at enough holders."""
         disk, replication = self._context.disk, self._context.replication
         ticket = self._context.operation_log.record_intent(operation)
@@ -92,7 +94,7 @@
             return await disk.wait_durable(ticket)
 
         def expired() -> bool:
-            return is_over() or self._context.clock() >= deadline - DEADLINE_MARGIN
+            return is_obsolete() or self._context.clock() >= deadline - DEADLINE_MARGIN
 
         replicated = False
 
--- a/frostfall/net/operations/interfaces.py
+++ b/frostfall/net/operations/interfaces.py
@@ -24,7 +24,7 @@
     def post(self, event: api.Event) -> None:
         """Post an event to the policy engine."""
 
-    def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
+    def conclude(self, request: str, answer: bytes, outcome: FinalOutcome) -> None:
         """Send the final answer of a request and cancel the attempts in flight for it."""
 
     def stop(self) -> None:
--- a/frostfall/net/operations/settlement.py
+++ b/frostfall/net/operations/settlement.py
@@ -85,7 +85,7 @@
         result = replies.ended_result()
         owners = replies.silent_among(members) + self._context.removed_members
         if result is not None:
-            # An operation that failed at one member may have been served by a member that is now removed.
+            # An operation that failed at one member may have been served by a member that no longer replies.
             if result.status is OperationStatus.SERVED:
                 return result
             return best_result([result, *await self.read_replicas(operation.name, owners, deadline)])
--- a/frostfall/net/requests.py
+++ b/frostfall/net/requests.py
@@ -60,7 +60,7 @@
     started_at: int  # microseconds of Unix time
     deadline: int  # microseconds of Unix time
 
-    def is_over(self) -> bool:
+    def is_obsolete(self) -> bool:
         """Return whether the result of this attempt is no longer needed."""
         return self.request.done or self.attempt.cancelled
 
@@ -174,10 +174,10 @@
         for name in [name for name, request in self._requests.items() if not request.done]:
             self._post(api.AnswerDue(name))
 
-    def conclude(self, name: str, answer: bytes, end: FinalOutcome) -> None:
+    def conclude(self, name: str, answer: bytes, outcome: FinalOutcome) -> None:
         """Send the final answer of a request and cancel the attempts that the engine has in flight for it."""
         if (request := self._requests.get(name)) and not request.done:
-            self.finish(name, answer, end)
+            self.finish(name, answer, outcome)
             self._post(api.ClientDisconnected(name))
 
     def fail_after_fault(self, event: api.Event) -> None:
@@ -186,7 +186,7 @@
         if isinstance(name, str) and name in self._requests:
             self.finish(name, failure_answer(), FinalOutcome.FAILED)
 
-    def finish(self, name: str, answer: bytes, end: FinalOutcome) -> None:
+    def finish(self, name: str, answer: bytes, outcome: FinalOutcome) -> None:
         """Answer a request; has no effect if the request is already answered or unknown."""
         request = self._requests.get(name)
         if request is None or request.done:
@@ -195,7 +195,7 @@
         if all_attempts_ended := not request.in_flight:
             del self._requests[name]
         if self._operations:
-            self._operations.finish_request(name, answer, end, request.client, all_attempts_ended)
+            self._operations.finish_request(name, answer, outcome, request.client, all_attempts_ended)
         else:
             request.client.answer(answer)
 
@@ -213,7 +213,7 @@
             request.attempts[number].cancel()
 
     def send_attempt(self, action: api.SendAttempt) -> None:
-        """Start an attempt; exactly one `AttemptEnded` event is posted for it."""
+        """Start an attempt; exactly one `AttemptEnded` event is posted for each attempt that starts."""
         request = self._requests.get(action.request)
         started_at = self._clock.now()
         if request is None or request.done or self._task_group is None:
@@ -256,7 +256,7 @@
         try:
             if self._operations:
                 authorized = await self._operations.authorize_dispatch(
-                    dispatch.action.request, dispatch.is_over, dispatch.deadline
+                    dispatch.action.request, dispatch.is_obsolete, dispatch.deadline
                 )
         except Exception:  # the attempt must still end, or its request would stay unanswered
             _log.exception("dispatch authorization failed")
