--- a/frostfall/net/graceful_shutdown.py
+++ b/frostfall/net/graceful_shutdown.py
@@ -23,7 +23,7 @@
 
     ACCEPTING = "accepting"
     DRAINING = "draining"  # connections close after their answer; new connections are still accepted
-    CLOSING = "closing"  # new connections and queries are rejected
+    CLOSING = "closing"  # no new connections are accepted; further queries are rejected
     STOPPED = "stopped"
 
 
