--- a/tests/test_crossing_requests.py
+++ b/tests/test_crossing_requests.py
@@ -162,7 +162,8 @@
     assert len(driver.engine.admission.waiting) == 2
     driver.tell(api.ClientDisconnected("q1"))
     driver.listed(server(1))
-    # An attempt for a client that has disconnected is charged too, and a run with too many of them fails.
+    # An attempt for a client that has disconnected is charged too, and a run fails if more than a quarter of
+    # these attempts fail.
     assert [send.request for send in sends(driver.pass_time(S // 10))] == ["q2"]
     assert set(driver.engine.requests) == {"q2"}
 
