--- a/frostfall/net/upstream_pool.py
+++ b/frostfall/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to upstream servers: opened on demand, reused, and closed when idle for long."""
+"""Pool of connections to upstream servers: opens them on demand, reuses them, and closes idle ones."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from frostfall.protocol.attempt_result import AttemptProgress, AttemptResult
 from frostfall.protocol.pg_client import ConnectionState, ErrorAnswer
 
-IDLE_TIMEOUT_FRACTION = 0.75  # of the settings' timeout, at which the server closes or even before
-SOCKET_POLL_SECONDS = 0.005  # between looks for a free socket; answers take some tens of these
-REUSE_DELAY_MICROS = 20_000  # after an answer: a second one would come some milliseconds late
+IDLE_TIMEOUT_FRACTION = 0.75  # of the timeout in the settings; servers close at that timeout or earlier
+SOCKET_POLL_SECONDS = 0.005  # between checks for a free socket; answers take tens of times as long
+REUSE_DELAY_MICROS = 20_000  # after an answer; a faulty second answer would follow within milliseconds
 SWEEP_INTERVAL_SECONDS = 1.0  # between sweeps of idle connections; well below any idle timeout
 
 _log = log.get_logger("appliances")
 
 
 class UpstreamPool:
-    """Owns all connections to upstream servers and runs the attempts over them."""
+    """Owns all connections to upstream servers and runs attempts over them."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         slow_peers: SlowPeerDetector[Any] | None = None,
         monitor: ConnectionMonitor | None = None,
     ) -> None:
-        """Open as many connections as there are sockets; `monitor` has to be run by the caller."""
+        """Open connections within the limit of `sockets`; the caller has to run `monitor`."""
         self.sockets = sockets
         self._slow_peers = slow_peers or SlowPeerDetector[Any]()
         self._monitor = ConnectionMonitor() if monitor is None else monitor
@@ -49,16 +49,14 @@
         self._idle: defaultdict[Address, list[UpstreamConnection]] = defaultdict(list)
 
     def __len__(self) -> int:
-        """How many connections are open or being opened."""
+        """Return the number of connections that are open or being opened."""
         return self._count
 
     @property
     def idle_count(self) -> int:
-        """How many connections wait for a request."""
+        """Number of idle connections."""
         return sum(map(len, self._idle.values()))
 
-    # ---- attempts ----------------------------------------------------------------------------------
-
     async def run_attempt(
         self,
         attempt: UpstreamAttempt,
@@ -67,14 +65,14 @@
         deadline: int,
         on_end: Callable[[AttemptResult], None],
     ) -> None:
-        """Carry one attempt through and report its end, exactly once; the connection returns to the pool.
+        """Run one attempt and pass its result to `on_end` exactly once; the connection returns to the pool.
 
-        `get_statement` is called just before the first byte is written; with None the attempt is withdrawn.
+        `get_statement` is called just before the first byte is written; if it returns None, nothing is sent.
         `deadline` is in microseconds of Unix time.
         """
         try:
             await self._run_attempt(attempt, address, get_statement, deadline, on_end)
-        except Exception:  # a task boundary: the other attempts go on
+        except Exception:  # an error in one attempt must not end the others
             _log.exception("end of attempt failed")
 
     async def _run_attempt(
@@ -86,42 +84,41 @@
         on_end: Callable[[AttemptResult], None],
     ) -> None:
         connection: UpstreamConnection | None = None
-        ending = AttemptResult(AttemptProgress.NO_CONNECTION, reason="failed")
+        result = AttemptResult(AttemptProgress.NO_CONNECTION, reason="failed")
         try:
             with attempt.scope:
                 attempt.scope.deadline = anyio.current_time() + (deadline - self._clock.now()) / 1e6
                 acquired = await self._acquire(address)
                 if isinstance(acquired, AttemptResult):
-                    ending = acquired
+                    result = acquired
                 else:
                     connection = acquired
-                    ending = await connection.exchange(attempt, get_statement)
+                    result = await connection.exchange(attempt, get_statement)
                 return
-            # Only a scope that ended the wait leads here: by its deadline, or cancelled.
+            # Reached only if the scope interrupted the wait: its deadline passed or it was cancelled.
             if connection is not None and not attempt.cancelled and not attempt.stall_reason:
-                connection.note_timeout(attempt)
-            ending = attempt.interrupted_ending()
+                connection.record_timeout(attempt)
+            result = attempt.interrupted_result()
         except Exception as error:
             _log.exception("attempt failed")
-            ending = AttemptResult(max(attempt.progress, AttemptProgress.WRITTEN), reason=repr(error))
+            result = AttemptResult(max(attempt.progress, AttemptProgress.WRITTEN), reason=repr(error))
             if connection is not None:
                 self._drop(connection)
                 connection = None
         finally:
-            # The connection closes before the end is reported, or a hedged copy could run beside this one.
+            # The connection is closed before the result is reported; otherwise a hedged copy of the request
+            # could run at the same time as this attempt.
             if connection is not None and not connection.is_answered:
                 self._drop(connection)
                 connection = None
             if connection is not None:
                 connection.attempt = None
-            on_end(ending)
+            on_end(result)
             if connection is not None:
                 await self._release(connection)
 
-    # ---- connections -------------------------------------------------------------------------------
-
     async def _acquire(self, address: Address) -> UpstreamConnection | AttemptResult:
-        """A connection on which nothing is in flight; the attempt's ending where there is none."""
+        """Return a connection without a request in flight, or the attempt's result if none is available."""
         if (connection := self._take_idle(address)) is not None:
             return connection
         opened = await self._open(address)
@@ -131,12 +128,12 @@
         return opened
 
     def _take_idle(self, address: Address) -> UpstreamConnection | None:
-        """The connection that was used last, if it is still usable."""
-        waiting, now = self._idle.get(address, []), self._clock.now()
-        for index in range(len(waiting) - 1, -1, -1):
-            if now - waiting[index].idle_since < REUSE_DELAY_MICROS:
+        """Return the most recently used idle connection that is still usable; drop unusable ones."""
+        idle, now = self._idle.get(address, []), self._clock.now()
+        for index in range(len(idle) - 1, -1, -1):
+            if now - idle[index].idle_since < REUSE_DELAY_MICROS:
                 continue
-            connection = waiting.pop(index)
+            connection = idle.pop(index)
             if connection.usable and now - connection.idle_since < self._idle_timeout:
                 return connection
             self._drop(connection)
@@ -148,7 +145,7 @@
                 await anyio.sleep(SOCKET_POLL_SECONDS)
         if self.sockets.exhausted:
             return AttemptResult(AttemptProgress.NO_CONNECTION, reason="no connection is free")
-        self._count_sockets(1)
+        self._adjust_socket_count(1)
         connection: UpstreamConnection | None = None
         answer = None
         why = "no connection in time"
@@ -159,32 +156,32 @@
                 if waiting := self._slow_peers.options.waiting:
                     stream.limit_send_buffer(waiting.kernel_bytes)
                 await connection.open()
-                if connection.machine.state is ConnectionState.READY:
+                if connection.protocol.state is ConnectionState.READY:
                     return connection
-                answer, why = connection.machine.answer, "turned away"
+                answer, why = connection.protocol.answer, "turned away"
         except (OSError, *STREAM_ERRORS) as error:
             why = repr(error)
         finally:
             if connection is None:
-                self._count_sockets(-1)
-            elif connection.machine.state is not ConnectionState.READY:
+                self._adjust_socket_count(-1)
+            elif connection.protocol.state is not ConnectionState.READY:
                 self._drop(connection)
         refusal = answer if isinstance(answer, ErrorAnswer) else None
         return AttemptResult(AttemptProgress.NO_CONNECTION, refusal, reason=why)
 
     async def _release(self, connection: UpstreamConnection) -> None:
-        """Wait for the end of an answer, then keep the connection for the next request."""
-        machine = connection.machine
+        """Wait for the end of an answer, then retain the connection for another request."""
+        protocol = connection.protocol
         try:
-            # most often ReadyForQuery came with the answer
-            if machine.state is ConnectionState.ANSWER_RECEIVED:
+            # ReadyForQuery usually arrives together with the answer.
+            if protocol.state is ConnectionState.ANSWER_RECEIVED:
                 with anyio.move_on_after(self._connect_timeout):
-                    while machine.state is ConnectionState.ANSWER_RECEIVED:
-                        machine.feed(await connection.stream.receive())
+                    while protocol.state is ConnectionState.ANSWER_RECEIVED:
+                        protocol.feed(await connection.stream.receive())
         except STREAM_ERRORS:
             pass
         finally:
-            if machine.reusable:
+            if protocol.reusable:
                 connection.idle_since = self._clock.now()
                 self._idle[connection.address].append(connection)
             else:
@@ -192,25 +189,23 @@
 
     def _drop(self, connection: UpstreamConnection) -> None:
         connection.attempt = None
-        self._count_sockets(-1)
+        self._adjust_socket_count(-1)
         self._monitor.cancel(connection)
         connection.stream.close()
 
-    def _count_sockets(self, change: int) -> None:
+    def _adjust_socket_count(self, change: int) -> None:
         self._count += change
         self.sockets.used += change
 
-    # ---- idle connections --------------------------------------------------------------------------
-
     def retain_addresses(self, addresses: Container[Address]) -> None:
-        """Close idle connections to any other address: its next listener may be another server."""
-        for address in [known for known in self._idle if known not in addresses]:
+        """Close idle connections to any other address, where another server may listen next."""
+        for address in [pooled for pooled in self._idle if pooled not in addresses]:
             for connection in self._idle.pop(address):
                 self._drop(connection)
 
     def evict_idle(self) -> bool:
-        """Close the connection that has been idle for longest; False where none is."""
-        oldest_by_address = (waiting[0] for waiting in self._idle.values() if waiting)
+        """Close the connection that has been idle for longest; return False if none is idle."""
+        oldest_by_address = (idle[0] for idle in self._idle.values() if idle)
         oldest = min(oldest_by_address, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
             return False
@@ -219,7 +214,7 @@
         return True
 
     async def run_sweeper(self) -> None:
-        """Close connections that have been idle for long or that the server has closed, for good."""
+        """Close connections that are idle for too long or closed by the server, until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
             expiry = self._clock.now() - self._idle_timeout
@@ -227,9 +222,9 @@
                 self._sweep(address, expiry)
 
     def _sweep(self, address: Address, expiry: int) -> None:
-        waiting = self._idle[address]
-        stale = [each for each in waiting if each.idle_since <= expiry or not each.usable]
-        self._idle[address] = [each for each in waiting if each not in stale]
+        idle = self._idle[address]
+        stale = [candidate for candidate in idle if candidate.idle_since <= expiry or not candidate.usable]
+        self._idle[address] = [candidate for candidate in idle if candidate not in stale]
         if not self._idle[address]:
             del self._idle[address]
         for connection in stale:
@@ -237,7 +232,7 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        for waiting in self._idle.values():
-            for connection in waiting:
+        for idle in self._idle.values():
+            for connection in idle:
                 self._drop(connection)
         self._idle.clear()
