--- a/frostfall/bench/fault_soak/herd_player.py
+++ b/frostfall/bench/fault_soak/herd_player.py
@@ -1,4 +1,4 @@
-"""Plays a thundering herd: an outage of discovery in which servers change, and the restart of many agents."""
+"""Runs a thundering herd: an outage of discovery with changes of servers, then restarts of many agents."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from frostfall.bench.fault_soak.services import CallQueue, Discovery, DiscoveryMode
 from frostfall.bench.fault_soak.thundering_herd import ServerChange, ThunderingHerd
 
-SERVER_REMOVAL_SECONDS = 0.7  # after a drain began
+SERVER_REMOVAL_SECONDS = 0.7  # from the start of the drain
 
 
 class HerdPlayer:
-    """Carries out the schedule of one herd."""
+    """Runs the schedule of one thundering herd."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         servers: list[StandInServer],
         agents: list[SoakAgent],
     ) -> None:
-        """Play it on these stand-ins and agents."""
+        """Run `herd` on the given stand-ins and agents."""
         self._herd = herd
         self._discovery = discovery
         self._servers = servers
@@ -33,7 +33,7 @@
         self._began = 0.0  # monotonic seconds
 
     async def run(self, began: float) -> None:
-        """Play the schedule, which began at this monotonic time."""
+        """Run the schedule; `began` is the monotonic time of its start."""
         self._began = began
         herd = self._herd
         async with anyio.create_task_group() as group:
@@ -51,7 +51,7 @@
         await anyio.sleep(max(self._began + moment - monotonic(), 0.0))
 
     async def _change_server(self, change: ServerChange) -> None:
-        """Let a server drain, be removed, and come back with a newer build, if it does."""
+        """Let a server drain, be removed, and return with a newer build if the change says so."""
         server = self._servers[change.server]
         await self._sleep_until(change.at)
         entry = self._discovery.entry(server.name)
--- a/frostfall/bench/fault_soak/listeners.py
+++ b/frostfall/bench/fault_soak/listeners.py
@@ -21,12 +21,12 @@
     """Opens sockets on loopback and serves their connections until `close`."""
 
     def __init__(self, group: TaskGroup) -> None:
-        """Run everything in this group."""
+        """Run the tasks of all connections in this group."""
         self._group = group
         self._sockets: list[socket.socket] = []
 
     def open(self, handler: ConnectionHandler, host: str = "127.0.0.1") -> Address:
-        """Serve connections at a new port of `host`; where it listens."""
+        """Serve connections at a free port of `host`; return the address."""
         listener = socket.socket()
         listener.setblocking(False)
         listener.bind((host, 0))
@@ -50,7 +50,7 @@
     async def _serve(self, stream: Stream, handler: ConnectionHandler) -> None:
         try:
             await handler(stream)
-        except* (*STREAM_ERRORS, OSError, ValueError):  # a stream that the other side, or a fault, has ended
+        except* (*STREAM_ERRORS, OSError, ValueError):  # the peer or a fault ended the stream
             pass
         finally:
             stream.close()
