--- a/frostfall/bench/fault_soak/herd_player.py
+++ b/frostfall/bench/fault_soak/herd_player.py
@@ -41,7 +41,7 @@
                 group.start_soon(self._change_server, change)
             await self._sleep_until(herd.outage_at)
             await self._discovery.play(DiscoveryMode.DOWN, herd.outage_seconds)
-            self._discovery.queue = CallQueue(herd.call_seconds, herd.patience_seconds)
+            self._discovery.queue = CallQueue(herd.call_seconds, herd.max_wait_seconds)
             await self._sleep_until(herd.restart_at)
             for number in herd.restarted:
                 agent = self._agents[number]
--- a/frostfall/bench/fault_soak/links.py
+++ b/frostfall/bench/fault_soak/links.py
@@ -11,7 +11,7 @@
 from frostfall.bench.relay import BACK, FORTH, Link
 from frostfall.config import Address
 
-RESET_SECONDS = 0.5  # after a reset; connections that end in this window are excused
+RESET_WINDOW_SECONDS = 0.5  # after a reset; connections that end in this window are excused
 
 
 class FaultyLink:
@@ -34,9 +34,9 @@
         return bool(self._link.cut)
 
     @property
-    def has_just_reset(self) -> bool:
-        """Whether the connections were reset within the last RESET_SECONDS."""
-        return monotonic() - self._reset_at < RESET_SECONDS
+    def was_reset_recently(self) -> bool:
+        """Whether the connections were reset within the last RESET_WINDOW_SECONDS."""
+        return monotonic() - self._reset_at < RESET_WINDOW_SECONDS
 
     async def pause(self, seconds: float, back_only: bool = False) -> None:
         """Hold data back for some seconds, in both directions or only towards the connecting side."""
--- a/frostfall/bench/fault_soak/run.py
+++ b/frostfall/bench/fault_soak/run.py
@@ -45,8 +45,8 @@
     findings = Oracle(records).findings()
     for number, finding in enumerate(findings[:MAX_TIMELINES]):
         path = folder / f"finding-{number}-{finding.rule.name.lower()}.txt"
-        path.write_text(report.timeline(plan, records, finding, soak.faults_began_at))
-    result = report.summarise(plan, records, findings, monotonic() - began, soak.faults_began_at)
+        path.write_text(report.timeline(plan, records, finding, soak.faults_started_at))
+    result = report.summarise(plan, records, findings, monotonic() - began, soak.faults_started_at)
     (folder / "result.json").write_bytes(msgspec.json.encode(result))
     return result
 
@@ -115,8 +115,8 @@
         finally:
             self._processes.discard(process)
         if process.returncode or not (folder / "result.json").exists():
-            said = errors.decode(errors="replace")[-300:].strip()
-            failed.error = said or f"ended with {process.returncode}"
+            error_text = errors.decode(errors="replace")[-300:].strip()
+            failed.error = error_text or f"ended with {process.returncode}"
             return failed
         return msgspec.json.decode((folder / "result.json").read_bytes(), type=report.SeedResult)
 
--- a/frostfall/bench/fault_soak/thundering_herd.py
+++ b/frostfall/bench/fault_soak/thundering_herd.py
@@ -24,7 +24,7 @@
     """Faults of datagrams between agents; shares refer to all datagrams."""
 
     lost_share: float = 0.0
-    doubled_share: float = 0.0
+    duplicated_share: float = 0.0
     late_share: float = 0.0
     late_seconds: float = 0.0
     silent_agent: int | None = None  # datagrams of this agent are dropped; it still receives
@@ -41,7 +41,7 @@
     restarted: tuple[int, ...]  # numbers of agents
     graceful: bool  # SIGTERM instead of SIGKILL
     call_seconds: float  # duration of the first call of a connection at discovery, one at a time
-    patience_seconds: float  # longest wait of a call, after which discovery refuses it
+    max_wait_seconds: float  # longest wait of a call, after which discovery refuses it
     datagrams: DatagramFaults
 
 
@@ -65,10 +65,10 @@
         restarted=tuple(sorted(source.sample(range(agents), int(agents * RESTARTED_SHARE)))),
         graceful=source.random() < 0.3,
         call_seconds=source.uniform(0.1, 0.4),
-        patience_seconds=source.uniform(1.5, 3.0),
+        max_wait_seconds=source.uniform(1.5, 3.0),
         datagrams=DatagramFaults(
             lost_share=source.choice((0.0, 0.1, 0.2, 0.5)),
-            doubled_share=source.choice((0.0, 0.1)),
+            duplicated_share=source.choice((0.0, 0.1)),
             late_share=source.choice((0.0, 0.1)),
             late_seconds=source.uniform(0.05, 0.5),
             silent_agent=source.randrange(agents) if source.random() < 0.3 else None,
