--- a/frostfall/bench/fault_soak/oracle.py
+++ b/frostfall/bench/fault_soak/oracle.py
@@ -283,7 +283,7 @@
 
 
 def _unavailable_since(changes: list[tuple[float, str]], moment: float) -> float | None:
-    """Return the time of the change that ended the service of a server; None if it is in service."""
+    """Return since when a server had been unavailable at `moment`; None if it was in service."""
     since: float | None = None
     for at, lifecycle in changes:
         if at >= moment:
