--- a/frostfall/model/member.py
+++ b/frostfall/model/member.py
@@ -80,8 +80,6 @@
         if self._dispatcher is not None and not self.replaced:
             self._dispatcher.dispatch(statement, client)
 
-    # ---- the agent, as the group's record sees it (see net.recovery) ---------------------------------
-
     def post(self, event: api.Event) -> None:
         """There is no decision module."""
 
@@ -94,8 +92,6 @@
         if self._dispatcher is not None:
             self._dispatcher.conclude(request, answer, end)
 
-    # ---- dependencies --------------------------------------------------------------------------------
-
     async def _run_blocking(self, call: Callable[[*Arguments], Result], *arguments: *Arguments) -> Result:
         await self._member.environment.delay(MIN_DISK_DELAY, MAX_DISK_DELAY)
         try:
