--- a/frostfall/bench/schedules.py
+++ b/frostfall/bench/schedules.py
@@ -10,7 +10,7 @@
 from frostfall.bench.check import check
 from frostfall.bench.history import Event, History
 from frostfall.model.schedule import HEAL_AT, FaultKind, Schedule, draw_schedule
-from frostfall.model.simulation import play
+from frostfall.model.simulation import run_schedule
 
 _DISK_LOSSES = (FaultKind.DISK_LOST, FaultKind.DISK_ROLLED_BACK)
 _DISK_FAILURES = (FaultKind.SYNC_FAILURE, FaultKind.DISK_FULL)
@@ -18,7 +18,7 @@
 
 def judge(schedule: Schedule) -> list[str]:
     """Play a schedule; what was found, each as one line, nothing where all is well."""
-    events = play(schedule)
+    events = run_schedule(schedule)
     found = check(History(events))
     stuck = _stuck_members(schedule, events)
     lost = _lost_answers(schedule, events) if schedule.replication else []
--- a/frostfall/model/member.py
+++ b/frostfall/model/member.py
@@ -1,4 +1,4 @@
-"""A simulated member of a group: its disk, its power, and the incarnations of the program that it runs."""
+"""A simulated member of a group: its disk, power supply and the incarnations of the program."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from frostfall.protocol.member_messages import Heartbeat
 from frostfall.protocol.statement import Statement, parse
 
-MIN_DISK_DELAY = 0.0001  # seconds of a file operation
-MAX_DISK_DELAY = 0.004  # seconds of a file operation
+MIN_DISK_DELAY = 0.0001  # seconds per file operation
+MAX_DISK_DELAY = 0.004  # seconds per file operation
 STALL_CHECK_INTERVAL = 0.02  # seconds
 ENDPOINTS = EndpointListUpdate(1, True, [Endpoint("s-0", "127.0.0.1:9", "in_service", "a", 0, 1.0, 0.0, 1)])
 
@@ -33,11 +33,11 @@
 
 
 class Incarnation:
-    """One run of the program, from power on to power off."""
+    """One run of the program, from power-on to power-off."""
 
     def __init__(self, member: Member, settings: config.Config) -> None:
-        """Build the program; nothing runs before `run`."""
-        self.replaced = False  # the program has ended itself because a later incarnation exists
+        """Create the program without running it."""
+        self.replaced = False  # the program stopped because a later incarnation exists
         self.directory = SimulatedSegmentDirectory(member.disk)
         self._member = member
         self._scope = anyio.CancelScope()
@@ -53,7 +53,7 @@
         self.program = GroupMember(settings, self, member.environment.micros, dependencies)
 
     async def run(self) -> None:
-        """Run the program until it ends or the power goes."""
+        """Run the program until it ends or loses power."""
         member = self._member
         with self._scope:
             async with anyio.create_task_group() as tasks:
@@ -66,29 +66,29 @@
                     member.wait_until_running,
                 )
                 self.program.endpoints_changed(ENDPOINTS)
-                await self.program.run(lambda listing: None)
+                await self.program.run(lambda endpoints: None)
 
     def cancel(self) -> None:
-        """End at once."""
+        """Cancel the program immediately."""
         self._scope.cancel()
 
     def receive_query(self, text: bytes, client: ClientConnection) -> None:
-        """Take a client's query."""
+        """Handle a client's query."""
         statement = parse(text)
         if not isinstance(statement, Statement):
-            raise ValueError(f"not a statement that the program takes: {text!r}")
+            raise ValueError(f"the program does not accept this statement: {text!r}")
         if self._dispatcher is not None and not self.replaced:
             self._dispatcher.dispatch(statement, client)
 
     def post(self, event: api.Event) -> None:
-        """There is no decision module."""
+        """Ignore the event, as no policy engine is simulated."""
 
     def stop(self) -> None:
-        """End, because a later incarnation exists."""
+        """Stop handling queries because a later incarnation exists."""
         self.replaced = True
 
     def conclude(self, request: str, answer: bytes, end: FinalOutcome) -> None:
-        """Finish a request whose end the record has found out."""
+        """Finish a request with an outcome from the record."""
         if self._dispatcher is not None:
             self._dispatcher.conclude(request, answer, end)
 
@@ -122,7 +122,7 @@
 
 
 class Member:
-    """One machine of the group; what its disk holds outlives its incarnations."""
+    """One machine of the group; the content of its disk outlives its incarnations."""
 
     def __init__(
         self,
@@ -132,26 +132,26 @@
         network: Network,
         server: SimulatedServer,
     ) -> None:
-        """Off, with an empty disk."""
+        """Create a member without power and with an empty disk."""
         self.name = name
         self.environment = environment
         self.network = network
         self.server = server
         self.disk = SimulatedDisk(f"{schedule.seed} {name}")
-        self.snapshots: list[dict[int, bytes]] = []  # of the disk's segments, one at each loss of power
+        self.snapshots: list[dict[int, bytes]] = []  # the disk's segments after each power loss
         self.incarnation: Incarnation | None = None
-        self.stalled_until = 0.0  # virtual seconds; nothing comes in or goes out before
+        self.stalled_until = 0.0  # virtual seconds; until then, no message is received or sent
         self._first_config = member_config(schedule, name, new_group=True)
         self._config = member_config(schedule, name, new_group=False)
         self._started = False
 
     async def wait_until_running(self) -> None:
-        """Return once it is not stalled."""
+        """Return once the member is not stalled."""
         while self.environment.seconds() < self.stalled_until:
             await anyio.sleep(STALL_CHECK_INTERVAL)
 
     def power_on(self) -> None:
-        """Start the program, if the power is off."""
+        """Start the program if the power is off."""
         if self.incarnation is None:
             self.environment.tasks.start_soon(self._run)
 
@@ -167,7 +167,7 @@
             self.incarnation = None
 
     def power_off(self, *, disk_stopped: bool = False) -> None:
-        """Lose power; `disk_stopped` says that the disk has lost it already, in a file operation."""
+        """Cut the power; `disk_stopped`: the disk has already lost power, during a file operation."""
         incarnation = self.incarnation
         if incarnation is None:
             return
--- a/frostfall/model/simulation.py
+++ b/frostfall/model/simulation.py
@@ -1,7 +1,7 @@
-"""Groups of agents through power losses, in virtual time: the program's own record and readiness, real code.
+"""Simulation of a group of agents under power losses and other faults, in virtual time.
 
-Simulated are disks, links, the server and clients. A schedule is data, and the same schedule gives the same
-history.
+The code for the record of operations and for readiness is the real one; disks, links, the server and clients
+are simulated. A schedule is data, and the same schedule always gives the same history.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import anyio
 
 from frostfall.model.client import ClientDriver
-from frostfall.model.clock import VirtualLoop
+from frostfall.model.clock import VirtualTimeLoop
 from frostfall.model.environment import Environment, Event
 from frostfall.model.links import Network
 from frostfall.model.member import Member
@@ -17,14 +17,14 @@
 from frostfall.model.upstream import SimulatedServer
 from frostfall.recovery.readiness import ReadinessStage
 
-RESTART_PAUSE = 0.01  # seconds from the healing until all members are on
+RESTART_PAUSE = 0.01  # seconds from the repair of all faults until all members are powered on
 
 
 class Simulation:
-    """One run of a schedule: all members, and what lies between them."""
+    """One run of a schedule with its members, links, server and clients."""
 
     def __init__(self, schedule: Schedule) -> None:
-        """Build it; nothing runs yet."""
+        """Create all parts without running them."""
         self._schedule = schedule
         self._environment = Environment(schedule.seed)
         self._network = Network(self._environment)
@@ -38,11 +38,11 @@
 
     @property
     def events(self) -> list[Event]:
-        """The history so far."""
+        """The history up to the present virtual time."""
         return self._environment.events
 
     async def run(self) -> None:
-        """Play the schedule to its end."""
+        """Run the schedule to its end."""
         async with anyio.create_task_group() as tasks:
             self._environment.tasks = tasks
             for member in self._members.values():
@@ -58,7 +58,7 @@
             tasks.cancel_scope.cancel()
 
     async def _heal(self) -> None:
-        """Mend links and disks; members that were replaced start anew, and a log that failed recovers."""
+        """Repair links and disks, and restart replaced members; failed logs then recover."""
         self._network.heal()
         for member in self._members.values():
             member.disk.clear_faults()
@@ -82,7 +82,7 @@
             return
         members = [self._members[name] for name in fault.members]
         for member in members:
-            self._begin(fault, member)
+            self._apply_fault(fault, member)
         await anyio.sleep(fault.duration)
         for member in members:
             if fault.kind in (FaultKind.SYNC_FAILURE, FaultKind.DISK_FULL):
@@ -92,7 +92,7 @@
                 await member.wait_until_running()
                 self._environment.record("woken", who=member.name)
 
-    def _begin(self, fault: Fault, member: Member) -> None:
+    def _apply_fault(self, fault: Fault, member: Member) -> None:
         match fault.kind:
             case FaultKind.STALL:
                 stalled_until = self._environment.seconds() + fault.duration
@@ -116,7 +116,7 @@
 
 
 def _stuck_reasons(member: Member) -> list[str]:
-    """Why a member is not as it should be once all has healed; empty where it is."""
+    """Return the reasons why a member has not recovered after the repair of all faults, if any."""
     if member.incarnation is None:
         return ["off"]
     program = member.incarnation.program
@@ -132,8 +132,8 @@
     return reasons
 
 
-def play(schedule: Schedule) -> list[Event]:
-    """Play a schedule; its history."""
+def run_schedule(schedule: Schedule) -> list[Event]:
+    """Run a schedule and return its history."""
     simulation = Simulation(schedule)
-    anyio.run(simulation.run, backend="asyncio", backend_options={"loop_factory": VirtualLoop})
+    anyio.run(simulation.run, backend="asyncio", backend_options={"loop_factory": VirtualTimeLoop})
     return simulation.events
