--- a/frostfall/model/clock.py
+++ b/frostfall/model/clock.py
@@ -35,6 +35,6 @@
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        # asyncio treats a timer that is due in less than the clock's resolution as due and does not advance the
-        # clock. Without the added nanosecond, the loop could wait for such a timer forever.
+        # asyncio considers a timer due if the remaining time is less than the clock's resolution, without
+        # advancing the clock. Without the added nanosecond, the loop could wait for such a timer forever.
         return self._virtual_selector.now + 1e-9
