--- a/frostfall/model/__init__.py
+++ b/frostfall/model/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet in virtual time: the real decisions of many agents against modelled servers, links and services."""
+"""Simulations in virtual time: the real code of agents with simulated servers, links, disks and services."""
--- a/frostfall/model/fleet.py
+++ b/frostfall/model/fleet.py
@@ -77,7 +77,7 @@
         self.random = random.Random(seed)
         self.statistics = FleetStatistics()
         self.one_way_delay = one_way_delay
-        self.is_cut: Callable[[int, int], bool] = lambda sender, receiver: False  # True: the message is lost
+        self.is_cut: Callable[[int, int], bool] = lambda sender, receiver: False  # True: messages are lost
         self.discovery_up = True
         self.clock_errors: dict[int, Micros] = dict(clock_errors or {})
         self._rollout_state = INITIAL_ROLLOUT
--- a/frostfall/model/member.py
+++ b/frostfall/model/member.py
@@ -33,7 +33,10 @@
 
 
 class Incarnation:
-    """One run of the program, from power-on to power-off."""
+    """One run of the program, from power-on to power-off.
+
+    `post`, `stop` and `conclude` are the interface of the agent that `net.recovery` calls.
+    """
 
     def __init__(self, member: Member, settings: config.Config) -> None:
         """Create the program without running it."""
--- a/frostfall/model/raft_simulation.py
+++ b/frostfall/model/raft_simulation.py
@@ -42,9 +42,10 @@
         self.disks = {name: Disk(self.names) for name in self.names}
         self.rafts: dict[str, Raft | None] = {}
         self.registers: dict[str, Register] = {}
+        # Round of delivery, sending order, sender, receiver and message.
         self.in_transit: list[tuple[int, int, str, str, RaftMessage]] = []
         self.leaders: dict[int, str] = {}  # by term
-        self.committed: dict[int, tuple[int, Any]] = {}  # by index: term and command
+        self.committed: dict[int, tuple[int, Any]] = {}  # term and command by log index
         self.effective_commands: list[CompareAndSet] = []  # commands that changed the register, in order
         self.cut_links: set[frozenset[str]] = set()
         self._send_count = 0
