--- a/frostfall/bench/copies.py
+++ b/frostfall/bench/copies.py
@@ -39,7 +39,7 @@
         cluster.open()
         cluster.start()
         cluster.gate("unsafe")
-        cluster.crowd()
+        cluster.start_clients()
         cluster.wait("answered", 40, what="served")
         victim = rng.choice(cluster.names)
         address = cluster.links[f"clients>{victim}"]
@@ -72,7 +72,7 @@
             cluster.wait("answered", since=since, id=f"{operation}-t50")
             seen["settled"].append(monotonic() - begin)
         seen["given"], seen["open"], seen["after"] = len(given), len(open_ones), monotonic() - at
-        cluster.quiet()
+        cluster.drain()
     finally:
         cluster.close()
     return seen, check(cluster.history)
@@ -86,11 +86,11 @@
         cluster.open()
         cluster.start()
         cluster.gate("unsafe")
-        cluster.crowd()
+        cluster.start_clients()
         cluster.wait("answered", 100, what="served")
         since = cluster.now
         sleep(seconds)
-        cluster.quiet()
+        cluster.drain()
     finally:
         cluster.close()
     asked = {event["id"]: event["at"] for event in cluster.history.of("asked", since)}
@@ -241,9 +241,19 @@
             round(off["memory"], 3),
             off["memory"] <= 1.02,
         ),
-        target("operations run twice", "0", len(findings.twice), not findings.twice),
-        target("answers that differ or were not true", "0", len(findings.promises), not findings.promises),
-        target("tries without exactly one final answer", "0", len(findings.answers), not findings.answers),
+        target("operations run twice", "0", len(findings.duplicates), not findings.duplicates),
+        target(
+            "answers that differ or were not true",
+            "0",
+            len(findings.wrong_answers),
+            not findings.wrong_answers,
+        ),
+        target(
+            "tries without exactly one final answer",
+            "0",
+            len(findings.answer_counts),
+            not findings.answer_counts,
+        ),
         target(f"schedules with copies that broke something, of {schedules}", "0", len(failing), not failing),
         target(
             f"an open item of a lost machine settled, s (latest of {len(settled)})",
@@ -274,9 +284,9 @@
             "findings": {
                 "operations": findings.operations,
                 "ran": findings.ran,
-                "twice": findings.twice,
-                "answers": findings.answers,
-                "promises": findings.promises,
+                "twice": findings.duplicates,
+                "answers": findings.answer_counts,
+                "promises": findings.wrong_answers,
             },
         },
         text,
--- a/frostfall/bench/repair.py
+++ b/frostfall/bench/repair.py
@@ -93,7 +93,7 @@
             others, since = ["n0", "n1"], cluster.now
             cluster.start(*(others if missing < 1 else cluster.names))
             cluster.gate("unsafe", *others, since=since)
-            cluster.crowd()
+            cluster.start_clients()
             cluster.wait("answered", 100, what="served")
             sleep(1.0)
             begin = cluster.now
@@ -109,7 +109,7 @@
             done = float(cluster.wait(kind, who="n2", since=since, seconds=120)["at"])
             meanwhile = _p99(cluster, since, cluster.now, others)
             taken = [event for event in cluster.history.of("taken over", since) if event["who"] == "n2"]
-            cluster.quiet()
+            cluster.drain()
         finally:
             cluster.close()
     return {
@@ -154,12 +154,12 @@
             cluster.gate("unsafe")
             sleep(1.0)
             idle = _cpu(cluster, 2.0)
-            cluster.crowd()
+            cluster.start_clients()
             cluster.wait("answered", 50, what="served")
             begin = cluster.now
             busy = _cpu(cluster, seconds)
             count = sum(event["what"] == "served" for event in cluster.history.of("answered", begin))
-            cluster.quiet()
+            cluster.drain()
         finally:
             cluster.close()
     return {
@@ -201,7 +201,7 @@
             cluster.open()
             cluster.start()
             cluster.gate("unsafe")
-            cluster.crowd()
+            cluster.start_clients()
             cluster.servers(hold=["order"])
             for number in range(wanted):
                 cluster.ask("n2", f"open-{number}")
--- a/frostfall/bench/schedules.py
+++ b/frostfall/bench/schedules.py
@@ -22,7 +22,7 @@
     found = check(History(events))
     stuck = _stuck_members(schedule, events)
     lost = _lost_answers(schedule, events) if schedule.replication else []
-    return [*found.twice, *found.answers, *found.promises, *found.rules, *stuck, *lost]
+    return [*found.duplicates, *found.answer_counts, *found.wrong_answers, *found.crashes, *stuck, *lost]
 
 
 def _stuck_members(schedule: Schedule, events: list[Event]) -> list[str]:
