--- a/frostfall/bench/__init__.py
+++ b/frostfall/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements against stand-ins on loopback, and the scripted peers that they and the tests share."""
+"""Measurements against stand-ins on loopback, and the scripted peers that benches and tests share."""
--- a/frostfall/bench/cluster.py
+++ b/frostfall/bench/cluster.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
+from frostfall.bench.harness import ROOT
 from frostfall.bench.history import Event, History
 from frostfall.bench.ports import free_port
-from frostfall.bench.stage import ROOT
 
 GROUP_KEY = "a key of the stand-ins, and of nobody else"
 WAIT_TIMEOUT = 30.0  # seconds after which waiting for an event fails
--- a/frostfall/bench/fault_soak/fleet.py
+++ b/frostfall/bench/fault_soak/fleet.py
@@ -20,8 +20,8 @@
 from frostfall.bench.fault_soak.links import FaultyLink
 from frostfall.bench.fault_soak.records import Interval, ProcessRecord, ReadRecord, SoakRecords
 from frostfall.bench.fault_soak.shim import FaultShim, whole_queries
+from frostfall.bench.harness import ROOT
 from frostfall.bench.peers import Reader
-from frostfall.bench.stage import ROOT
 from frostfall.config import Address
 from frostfall.net.streams import STREAM_ERRORS, connect
 from frostfall.protocol import pg
--- a/frostfall/bench/fault_soak/play.py
+++ b/frostfall/bench/fault_soak/play.py
@@ -26,7 +26,7 @@
 from frostfall.bench.fault_soak.servers import ServerMode, StandInServer
 from frostfall.bench.fault_soak.services import Discovery, DiscoveryMode, RolloutApi
 from frostfall.bench.fault_soak.shim import SystemCallFault
-from frostfall.bench.stage import ROOT
+from frostfall.bench.harness import ROOT
 from frostfall.config import Address
 from frostfall.net.streams import STREAM_ERRORS
 
--- a/frostfall/bench/fault_soak/run.py
+++ b/frostfall/bench/fault_soak/run.py
@@ -17,7 +17,7 @@
 from frostfall.bench.fault_soak import report, shim
 from frostfall.bench.fault_soak.oracle import Oracle
 from frostfall.bench.fault_soak.play import Soak
-from frostfall.bench.stage import ROOT
+from frostfall.bench.harness import ROOT
 
 EXTRA_SECONDS = 120.0  # beyond its schedule, until a seed is broken off
 MAX_TIMELINES = 10  # a seed
--- a/frostfall/bench/report.py
+++ b/frostfall/bench/report.py
@@ -1,4 +1,4 @@
-"""What a bench leaves: its figures as JSON, as a table and as a plot."""
+"""Write the results of a bench as JSON and as Markdown tables."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 Row = dict[str, Any]
 
 
-def middle(values: Sequence[float]) -> float:
-    """The median; 0 of none."""
+def median(values: Sequence[float]) -> float:
+    """Return the median, or 0 if there are no values."""
     ordered, half = sorted(values), len(values) // 2
     if not ordered:
         return 0.0
@@ -21,7 +21,7 @@
 
 
 def table(rows: Sequence[Row], columns: Sequence[str]) -> str:
-    """Rows as a Markdown table; numbers with three digits that count."""
+    """Format rows as a Markdown table; floats have three significant digits."""
 
     def cell(value: Any) -> str:
         return f"{value:.3g}" if isinstance(value, float) else str(value)
@@ -32,8 +32,8 @@
 
 
 def write(out: Path, name: str, figures: Any, text: str) -> None:
-    """Leave `name`.json and `name`.md in a folder, which is made."""
+    """Write `name`.json and `name`.md to a directory, which is created if it does not exist."""
     out.mkdir(parents=True, exist_ok=True)
-    where = {"python": platform.python_version(), "machine": platform.machine(), "figures": figures}
-    (out / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(where), indent=1))
+    result = {"python": platform.python_version(), "machine": platform.machine(), "figures": figures}
+    (out / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
     (out / f"{name}.md").write_text(text, encoding="utf-8")
--- a/frostfall/cli/bench_commands.py
+++ b/frostfall/cli/bench_commands.py
@@ -126,13 +126,13 @@
 def faults(script: str, out: Path) -> None:
     """Play a script of faults (JSON5) on processes and check the history; exit with 1 on a finding."""
     with requirements("requirements-group.txt"):
-        import frostfall.bench.faults as play
+        import frostfall.bench.faults as fault_scripts
     if out.exists():
         raise click.ClickException(f"{out}: there already")
     out.mkdir(parents=True)
     try:
-        found = play.play(play.read(Path(script).read_text()), out)
-    except play.ScriptError as error:
+        found = fault_scripts.run_script(fault_scripts.parse(Path(script).read_text()), out)
+    except fault_scripts.ScriptError as error:
         raise click.ClickException(f"{script}: {error}") from None
     for line in (*found.duplicates, *found.answer_counts, *found.wrong_answers, *found.crashes):
         click.echo(line)
