--- a/frostfall/bench/repair.py
+++ b/frostfall/bench/repair.py
@@ -27,7 +27,7 @@
 ANSWER = b"D" + b"a" * 60
 RECORDS_PER_COMMIT = 500
 TWO_REPLICAS = {"kept": 2, "acknowledged": 1}
-REPLICAS_COMPLETE = "the record is whole by its copies"
+REPLICAS_COMPLETE = "the record is whole by its copies"  # log event
 RATE = 90.0  # operations a second of the load during the repair
 
 
--- a/frostfall/cli/bench_commands.py
+++ b/frostfall/cli/bench_commands.py
@@ -190,6 +190,6 @@
     with requirements("requirements-bench.txt"):
         from frostfall.bench import variants
     try:
-        click.echo(variants.write(overrides, site, out))
+        click.echo(variants.write_variant(overrides, site, out))
     except variants.VariantError as error:
         raise click.ClickException(str(error)) from None
