--- a/frostfall/bench/schedules.py
+++ b/frostfall/bench/schedules.py
@@ -22,7 +22,14 @@
     findings = check(History(events))
     stuck = _stuck_members(schedule, events)
     lost = _lost_answers(schedule, events) if schedule.replication else []
-    return [*findings.duplicates, *findings.answer_counts, *findings.wrong_answers, *findings.crashes, *stuck, *lost]
+    return [
+        *findings.duplicates,
+        *findings.answer_counts,
+        *findings.wrong_answers,
+        *findings.crashes,
+        *stuck,
+        *lost,
+    ]
 
 
 def _stuck_members(schedule: Schedule, events: list[Event]) -> list[str]:
--- a/frostfall/bench/slow_peers.py
+++ b/frostfall/bench/slow_peers.py
@@ -40,7 +40,9 @@
     return histogram
 
 
-def run_phase(agent: harness.Agent, servers: harness.Actor, phase: str, seconds: float, tag: str) -> report.Row:
+def run_phase(
+    agent: harness.Agent, servers: harness.Actor, phase: str, seconds: float, tag: str
+) -> report.Row:
     """Run one phase and return the figures of the fast clients and the outcome of the slow clients."""
     slow_clients = None
     if phase in ("slow clients", "usual crowd"):
@@ -51,7 +53,9 @@
     if phase == "dripping server":
         servers.send(server=0, script="drip")
     cpu_before = agent.cpu
-    fast_clients = harness.Actor("usual", address=agent.address, seconds=seconds, tag=f"u{tag}", **FAST_CLIENTS)
+    fast_clients = harness.Actor(
+        "usual", address=agent.address, seconds=seconds, tag=f"u{tag}", **FAST_CLIENTS
+    )
     result = fast_clients.receive()
     fast_clients.close()
     servers.send(server=0, script="usual")
